--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -76,12 +76,12 @@
         self._heard: list[int] = []
         super().__init__(*words)
 
-    def _listed(self, mode: str, listed: list) -> None:
-        super()._listed(mode, listed)
+    def _on_list(self, mode: str, listed: list) -> None:
+        super()._on_list(mode, listed)
         self._heard.append(self._watch._version)
 
-    def _settle(self, now: float) -> None:
-        super()._settle(now)
+    def _commit(self, now: float) -> None:
+        super()._commit(now)
         for version in self._heard:
             self.acted.setdefault(version, time.monotonic())
         self._heard.clear()
--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -260,7 +260,7 @@
         self.node._list.entries, self.node._ledger.owed = work.dictionary(), work.dictionary()
         self.node._list._destinations, self.node._answers = work.dictionary(), work.dictionary()
         self.spare = listed
-        self.node._listed(our.WHOLE, [(endpoint(each), ("127.0.0.1", 3)) for each in range(1, listed + 1)])
+        self.node._on_list(our.WHOLE, [(endpoint(each), ("127.0.0.1", 3)) for each in range(1, listed + 1)])
         self.node._turn()
         for destination in range(1, down + 1):
             self.node._core.recall(0.0, f"s-{destination}", DAY_MS)
@@ -273,7 +273,7 @@
 
     def hand(self, doc_id: str, destination: int) -> Handed:
         handed = Handed(doc_id, destination)
-        self.node._happened(self.node._take_on, handed)
+        self.node._enqueue(self.node._accept, handed)
         return handed
 
     def taken(self, many: int = 1) -> Callable[[], None]:
@@ -283,13 +283,13 @@
 
     def changed(self) -> Callable[[], None]:
         def act() -> None:
-            self.node._listed(our.CHANGES, [(endpoint(self.spare - 1, our.DRAINING), ("127.0.0.1", 3))])
+            self.node._on_list(our.CHANGES, [(endpoint(self.spare - 1, our.DRAINING), ("127.0.0.1", 3))])
             self.node._turn()
 
         return act
 
     def look(self) -> Callable[[], None]:
-        return self.node._look_for_overdue
+        return self.node._end_overdue
 
     def figures(self) -> Callable[[], None]:
         return self.node._figures
@@ -298,7 +298,7 @@
         """A document that a restart found gets its end, and nothing tried it."""
         owed = next(each for each in self.node._ledger.owed.values() if each.notice is None)
         owed.found = True
-        return lambda: self.node._owe_notice(owed.id, "dead", 0.0)
+        return lambda: self.node._end_with_notice(owed.id, "dead", 0.0)
 
 
 def notices(waiting: int) -> Callable[[], None]:
--- a/benchmarks/restart_ready.py
+++ b/benchmarks/restart_ready.py
@@ -302,7 +302,7 @@
     ledger.Replayed.__init__ = clock("lines replayed", ledger.Replayed.__init__)
     ledger.Ledger.__init__ = clock("ledger in all", ledger.Ledger.__init__)
     discovery.Watch.first = clock("first list", discovery.Watch.first, waits=True)
-    sender.Node._take_up = clock("take up", sender.Node._take_up)
+    sender.Node._recover = clock("take up", sender.Node._recover)
     sender.Node._turn = clock("first turns", sender.Node._turn)
     front.Front.open = clock("door", front.Front.open, waits=True)
 
--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -1,4 +1,4 @@
-"""python -m birchstack: one real sender, by the configuration that BALANCER_CONFIG names."""
+"""python -m birchstack: runs one sender, configured by the file that BALANCER_CONFIG names."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,10 @@
 
 
 def _audit_log(config: Config) -> tuple[Config, MakeAuditLog | None]:
-    """Whoever keeps the record, where operators switched it on; what it needs is imported only then."""
+    """Loads the audit log if BALANCER_FLEET enables it, and reserves its share of the configured limits.
+
+    Its dependencies are optional (the extra `fleet`), so they are imported only then.
+    """
     path = os.environ.get("BALANCER_FLEET")
     if not path:
         return config, None
@@ -25,12 +28,12 @@
         from birchstack.fleet import audit_log, settings
     except ModuleNotFoundError as problem:
         raise ConfigError(f"BALANCER_FLEET: {problem.name} is missing (the extra `fleet`)") from problem
-    told = settings.load(path)
-    return settings.room_for(told, config), audit_log.maker(told)
+    fleet = settings.load(path)
+    return settings.room_for(fleet, config), audit_log.maker(fleet)
 
 
 def _store(config: Config) -> tuple[Config, MakeStore | None]:
-    """What keeps long lines of documents on disk, where operators switched it on; it takes descriptors."""
+    """Loads the backlog on disk if BALANCER_BACKLOG enables it, and reserves its file descriptors."""
     path = os.environ.get("BALANCER_BACKLOG")
     if not path:
         if backlog.left(os.listdir(config.state)):
@@ -50,12 +53,15 @@
     node = Node(config, asyncio.get_running_loop(), audit=audit, store=store)
     await node.start()
     gc.collect()
-    gc.freeze()  # what a start leaves behind is never garbage
+    gc.freeze()  # objects created at the start live as long as the process: the collector skips them
     await node.ended
 
 
 def main() -> int:
-    signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])  # until it has its handler
+    """Runs the sender until it is told to end. Returns the exit status: 2 if the configuration is wrong."""
+    signal.pthread_sigmask(
+        signal.SIG_BLOCK, [signal.SIGHUP]
+    )  # until the event loop handles it: its default action would end the process
     log.start()
     try:
         config, audit = _audit_log(load())
--- a/birchstack/net/audit.py
+++ b/birchstack/net/audit.py
@@ -1,7 +1,8 @@
-"""What a sender tells its audit log: what it acts on, and what it sees. Without one, nothing of this is done.
+"""The interface between a sender and its audit log, which records what the sender acts on and observes.
 
-Owns the form only. An audit log must never raise into the sender, and never hold it up longer than one write
-to its folder takes. The one there is: birchstack.fleet.audit_log, switched on by BALANCER_FLEET.
+Owns the interface only; without an audit log, none of this is done. An audit log must never raise into the
+sender, and never delay it by more than one write to its folder. The one implementation is
+birchstack.fleet.audit_log, enabled by BALANCER_FLEET.
 """
 
 from __future__ import annotations
@@ -18,8 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderStatus:
-    """What a sender is at, for who asks from outside. heard_ms: since its watch of the list last said
-    anything, a beat too."""
+    """The state of a sender, for keepers. heard_ms: time since its watch received anything, beats too."""
 
     ready: bool
     held: int
@@ -27,36 +27,38 @@
 
 
 class AuditLog(Protocol):
-    """Records what a sender acts on before it does, and passes signals on where they are switched on."""
+    """Records what a sender acts on, before it does, and passes signals on where they are enabled."""
 
     def begins(self, holds: bool) -> None:
-        """A process begins, before it acts; holds: the folder is its own. Called again when that becomes
-        so."""
+        """The process starts; called before it acts, and again when it takes the folder over.
+
+        holds: whether this process holds the folder.
+        """
 
     def settings(self, config: Config, source: str) -> None:
-        """Before the settings are acted on."""
+        """The settings are about to be applied."""
 
     def told(self, told: dict, source: str) -> bool:
-        """A list or a change that could be read, before it is acted on. False: stay on what is held."""
+        """A valid list of endpoints, or a change to it, is about to be applied. False: keep the old list."""
 
     def turn(self, calls: list[tuple[str, str]], refused: list[str], failed: list[str]) -> None:
-        """One turn: before the calls (document, endpoint) begin; documents refused and failed in it."""
+        """Records a turn before its calls (document, endpoint) begin; refused and failed: documents."""
 
     def asked(self, query: dict[str, list[str]], body: bytes) -> Answer:
-        """A keeper's call for the trail; body: its question for signals, or nothing."""
+        """Answers a keeper's request for the trail; body: its request for signals, or empty."""
 
     def observed(self, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
-        """What the decisions saw and tell the other senders."""
+        """The decision logic observed this of an endpoint; for the other senders."""
 
     def linked(self) -> bool | None:
-        """Whether signals of other senders reach this one now; None where they never do."""
+        """Whether signals of other senders reach this one at present; None if signals are not enabled."""
 
     def figures(self) -> list[tuple[str, object]]:
-        """More figures for the operators' door: name and value."""
+        """Further metrics for operators, as name and value."""
 
     def ended(self) -> None:
-        """The process ends by itself, and acts no more."""
+        """The process ends in order, and acts no more."""
 
 
-Reported = Callable[[list[Report]], None]  # what other senders saw, for the decisions
+Reported = Callable[[list[Report]], None]  # takes what other senders observed, for the decision logic
 MakeAuditLog = Callable[[Config, Machine, Folder, Callable[[], SenderStatus], Reported], AuditLog]
--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -1,7 +1,8 @@
-"""Calls to endpoints: their connections, the pool of idle ones, and how each call ended.
+"""Calls to endpoints: their connections, the pool of idle ones, and the outcome of each call.
 
-Owns every connection to an endpoint, the time-outs of calls and dials, and the table of outcomes. Must never
-choose an endpoint, send anything again by itself, or keep a connection that the decisions count as gone.
+Owns every connection to an endpoint, the time-outs of calls and dials, and the mapping of responses to
+outcomes. Never chooses an endpoint, never sends anything again by itself, and never keeps a connection that
+the decision logic counts as closed.
 """
 
 from __future__ import annotations
@@ -18,16 +19,18 @@
 from birchstack.net.log import holds, say
 
 PATH = "/hook"
-KEPT = (our.OK, our.ERROR, our.FULL)  # after these a connection may lie idle for the next call
+REUSABLE_OUTCOMES = (our.OK, our.ERROR, our.FULL)  # after these a connection may stay idle for the next call
 DECIMAL = r"[0-9]{1,9}(?:\.[0-9]{0,18})?"
-REPORT = re.compile(rf"(?:TEXT )?x0=({DECIMAL}), ?x1=({DECIMAL})")
-REST_MS = 500.0  # an answer that has begun is whole after so long, or it is spoilt
-EARLIER = 0.9  # an idle connection is closed at this part of the endpoint's own time
+LOAD_REPORT = re.compile(rf"(?:TEXT )?x0=({DECIMAL}), ?x1=({DECIMAL})")
+RESPONSE_REST_MS = 500.0  # a response must be complete this long after its status line, or it is malformed
+IDLE_TIME_SHARE = (
+    0.9  # of the endpoint's idle time-out: closes first, so that no call meets the endpoint's close
+)
 log = logging.getLogger(__name__)
 
 
 def kind_of(answer: http1.Response) -> tuple[str, bool, float]:
-    """Outcome of an answer: its kind, whether the document is over by it, and the wait told."""
+    """Maps a response to its outcome: the kind, whether the document has ended, and the wait told in ms."""
     if answer.status == 200:
         return our.OK, True, 0.0
     if answer.status == 429:
@@ -42,188 +45,209 @@
 
 
 def report_of(answer: http1.Response) -> tuple[float | None, float | None]:
-    """The room left and the limit that an answer tells; what is not wholly readable tells nothing."""
-    report = REPORT.fullmatch(answer.fields.get("server-load", ""))
+    """Reads the free capacity and the limit from a response; a report that is not fully valid is ignored."""
+    report = LOAD_REPORT.fullmatch(answer.fields.get("server-load", ""))
     return (float(report[1]), float(report[2])) if report else (None, None)
 
 
 @dataclass(slots=True)
 class Call:
+    """One transmission of a document to an endpoint."""
+
     doc: str
     number: int
     endpoint: str
     body: bytes
-    patience_ms: float  # from when it is written
-    repeat_key: str | None = None  # passed on with every transmission, where its client sent one
+    patience_ms: float  # time-out, counted from when the call is written
+    repeat_key: str | None = None  # sent with every transmission if the client sent one (Idempotency-Key)
     started: float = 0.0  # when it was decided
     written: float = 0.0
     destination: int = -1
 
 
 class Line:
-    """One connection to an endpoint, from its dialling to its end; carries one call at a time."""
+    """One connection to an endpoint, from its dial to its close; carries one call at a time."""
 
     def __init__(self, calls: Calls, endpoint: str, where: tuple[str, int]) -> None:
-        self._calls, self.endpoint, self.where = calls, endpoint, where
+        self._calls = calls
+        self.endpoint = endpoint
+        self.address = where
         self._link: Link | None = None
         self._dial: Dial | None = None
         self._call: Call | None = None
         self._answer: http1.Response | None = None
         self._reader = http1.Responses()
-        self._late = False  # its time is over, and what has come is read
-        self._new = True  # no call has begun on it while it lay idle
-        self._sent = self._begun = False  # all was handed to the network; a first line has come
-        self._timer: asyncio.TimerHandle | None = None  # of the dial, the answer or the rest: one at a time
+        self._deadline_passed = False  # the call's time is over; bytes that have arrived are still read
+        self._new = True  # dialled for the current call, not taken from the idle pool
+        self._written = False  # the request was handed to the network
+        self._status_received = False  # a status line (not 1xx) has come
+        self._timer: asyncio.TimerHandle | None = None  # of dial, answer, rest of it, or idle: one at a time
 
     def begin(self, call: Call) -> None:
-        self._call, self._answer, self._reader, self._begun = call, None, http1.Responses(), False
-        self._sent = self._late = False
-        self._rest()
+        """Assigns a call to this connection, which is dialled if it is not established yet."""
+        self._call = call
+        self._answer = None
+        self._reader = http1.Responses()
+        self._status_received = False
+        self._written = self._deadline_passed = False
+        self._stop_timer()
         self._new = self._link is None
         if self._new:
-            self._timer = self._calls.later(min(self._calls.dial_ms, call.patience_ms), self._not_connected)
-            self._dial = Dial(self._calls.loop, self.where, self, self._not_connected)
+            self._timer = self._calls.later(min(self._calls.dial_ms, call.patience_ms), self._connect_failed)
+            self._dial = Dial(self._calls.loop, self.address, self, self._connect_failed)
 
-    def waits(self, call: Call) -> bool:
-        """True if this call has its connection, and was not written yet."""
-        return self._call is call and self._link is not None and not self._sent
+    def ready_for(self, call: Call) -> bool:
+        """True if the connection is established for this call, and the call is not written yet."""
+        return self._call is call and self._link is not None and not self._written
 
     def stale(self) -> bool:
-        """True if the endpoint has closed an idle connection already, or said what nobody asked."""
+        """True if the endpoint has closed an idle connection already, or sent bytes that nobody asked for."""
         return self._link is None or self._link.closed or self._link.told()[1] or self._link.unread() > 0
 
-    def rests(self) -> None:
-        """Lies idle until the next call, or shortly before the endpoint would close it."""
-        self._timer = self._calls.later(self._calls.idle_ms * EARLIER, self._expired)
+    def start_idle(self) -> None:
+        """Stays idle until the next call, or until shortly before the endpoint would close it."""
+        self._timer = self._calls.later(self._calls.idle_ms * IDLE_TIME_SHARE, self._idle_expired)
 
     def close(self) -> None:
-        self._rest()
+        """Closes the connection at once, or gives up its dial."""
+        self._stop_timer()
         if self._dial:
             self._dial.stop()
         if self._link:
             self._link.abort()
 
-    def _rest(self) -> None:
+    def _stop_timer(self) -> None:
         if self._timer:
             self._timer.cancel()
         self._timer = None
 
     def write(self) -> None:
+        """Writes the request of the call, and starts its time-out."""
         call = self._call
-        self._rest()
+        self._stop_timer()
         self._timer = self._calls.later(call.patience_ms, self._timed_out)
         fields = {
             "Request-Id": call.doc,
             "Request-Timeout-Ms": max(1, int(call.patience_ms)),
             **({"Idempotency-Key": call.repeat_key} if call.repeat_key else {}),
         }
-        host = f"{self.where[0]}:{self.where[1]}"
-        self._sent = self._link.write(http1.request("POST", PATH, host, fields, call.body))
-        if self._sent:
+        host = f"{self.address[0]}:{self.address[1]}"
+        self._written = self._link.write(http1.request("POST", PATH, host, fields, call.body))
+        if self._written:
             self._calls.transmitted += 1
-        else:  # reset in this moment, and nothing of it left
-            self._not_connected()
+        else:  # the connection was reset just now, and none of it was sent
+            self._connect_failed()
 
-    # What the link tells
+    # Events of the link (driver.Owner)
 
     def opened(self, link: Link) -> None:
-        self._link, self._dial = link, None
+        """Reports the call as connected."""
+        self._link = link
+        self._dial = None
         if self._call:
-            self._calls.up(self._call)
+            self._calls.connected(self._call)
 
     def received(self, data: memoryview) -> None:
-        if self._call is None:  # nobody asked
-            self._calls.drop(self)
+        """Parses the response, and ends the call once that is complete or malformed."""
+        if self._call is None:  # bytes on an idle connection: nobody asked
+            self._calls.discard(self)
             return
-        if not self._sent:  # nor is this the answer to a call that was not written
-            self._not_connected()
+        if not self._written:  # cannot be the answer to a call that is not written yet
+            self._connect_failed()
             return
         try:
             for event in self._reader.feed(data):
                 if isinstance(event, http1.Response):
                     self._answer = event
-                elif event is http1.END:  # what comes behind it belongs to nobody
+                elif event is http1.END:  # further bytes answer no call
                     keep = self._answer.keep and not self._link.unsent and self._reader.between
-                    self._ends(keep, whole=True)
+                    self._end_call(keep, complete=True)
                     return
         except http1.Malformed as problem:
-            self._spoilt(str(problem))
+            self._malformed(str(problem))
             return
-        if self._reader.told and not self._begun:
-            self._begun = True
+        if self._reader.told and not self._status_received:
+            self._status_received = True
             self._timer.cancel()
             left = self._call.patience_ms - self._calls.since(self._call.written)
-            self._timer = self._calls.later(min(REST_MS, max(0.0, left)), self._spoilt, "not whole in time")
+            self._timer = self._calls.later(
+                min(RESPONSE_REST_MS, max(0.0, left)), self._malformed, "response not complete in time"
+            )
             if self._reader.told == 200:
                 self._calls.delivered(self._call)
         if self._reader.told == 200 and self._reader.ended():
-            self._ends(keep=False)  # its body means nothing: no need to wait for its end
+            self._end_call(keep=False)  # the body has no meaning: no need to wait for its end
 
     def lost(self) -> None:
+        """Ends the call, if there is one; an idle connection leaves the pool."""
         if self._call is None:
-            self._calls.drop(self)
+            self._calls.discard(self)
         else:
-            self._ends(keep=False, whole=self._answer is not None and self._reader.ended())
+            self._end_call(keep=False, complete=self._answer is not None and self._reader.ended())
 
     # Ends of a call
 
-    def _not_connected(self) -> None:
-        self._ends(keep=False)
+    def _connect_failed(self) -> None:
+        self._end_call(keep=False)
 
-    def stays(self) -> None:
-        """The call must not be written any more, or cannot be: it never left."""
-        self._ends(keep=False, stays=not self._new or not self.stale())
+    def cancel(self) -> None:
+        """Ends the call without writing it: it may not or cannot be written any more."""
+        self._end_call(keep=False, cancelled=not self._new or not self.stale())
 
     def _timed_out(self) -> None:
-        if self._link.unread() and not self._late:  # an answer that came in this pass: read first, once
-            self._late = True
+        if self._link.unread() and not self._deadline_passed:  # an answer came in this pass: read it, once
+            self._deadline_passed = True
             self._timer = self._calls.later(0.0, self._timed_out)
             return
-        self._ends(keep=False, patience_over=True)
+        self._end_call(keep=False, timed_out=True)
 
-    def _expired(self) -> None:
-        self._calls.drop(self)
+    def _idle_expired(self) -> None:
+        self._calls.discard(self)
 
-    def _spoilt(self, problem: str) -> None:
-        self._calls.count_spoilt(self.endpoint, problem)
-        self._ends(keep=False, spoilt=True)
+    def _malformed(self, problem: str) -> None:
+        self._calls.count_malformed(self.endpoint, problem)
+        self._end_call(keep=False, malformed=True)
 
-    def _ends(
+    def _end_call(
         self,
         keep: bool,
-        whole: bool = False,
-        patience_over: bool = False,
-        spoilt: bool = False,
-        stays: bool = False,
+        complete: bool = False,
+        timed_out: bool = False,
+        malformed: bool = False,
+        cancelled: bool = False,
     ) -> None:
+        """Determines the outcome of the call; keep: whether the connection can serve another call."""
         call, answer = self._call, self._answer
-        if not holds(call, "a call ends once"):
+        if not holds(call, "a call ends exactly once"):
             return
         self._call = None
-        self._rest()
+        self._stop_timer()
         over, wait_ms, room, limit = False, 0.0, None, None
         if answer:
             room, limit = report_of(answer)
-        if self._reader.told == 200:  # its first line is enough, whatever follows
+        if self._reader.told == 200:  # the status line is enough, whatever follows it
             kind, over = our.OK, True
-            if not self._begun:
+            if not self._status_received:
                 self._calls.delivered(call)
-        elif answer and whole:  # of any other, a part proves nothing
+        elif answer and complete:  # any other response proves nothing unless it is complete
             kind, over, wait_ms = kind_of(answer)
-        elif stays:
+        elif cancelled:
             kind = our.UNSENT
-        elif not self._sent or self._link is None or self._link.unsent:
+        elif not self._written or self._link is None or self._link.unsent:
             kind = our.CONNECT_FAILED
-        elif spoilt:
+        elif malformed:
             kind = our.ERROR
         else:
-            kind = our.TIMEOUT if patience_over else our.RESET
-        self._calls.ended(self, call, keep and kind in KEPT, (kind, over, wait_ms, room, limit))
+            kind = our.TIMEOUT if timed_out else our.RESET
+        self._calls.ended(self, call, keep and kind in REUSABLE_OUTCOMES, (kind, over, wait_ms, room, limit))
 
 
 class Calls:
-    """All connections to endpoints. up(call) hears of a dialled connection that has come up: its call waits
-    for go(). told(call, outcome) hears of each call's end, once."""
+    """All connections to endpoints, and the calls in flight.
+
+    connected(call): a dialled connection is established, and its call waits for go(). delivered(call): the
+    status line of a 200 has come. told(call, outcome): the call has ended, reported once for each.
+    """
 
     def __init__(
         self,
@@ -231,74 +255,93 @@
         clock: Callable[[], float],
         idle_ms: float,
         dial_ms: float,
-        most_idle: int,
-        up: Callable,
+        max_idle: int,
+        connected: Callable,
         delivered: Callable,
         told: Callable,
     ) -> None:
-        self.loop, self._clock, self.idle_ms, self.dial_ms = loop, clock, idle_ms, dial_ms
-        self._most_idle, self.up, self.delivered, self._told = most_idle, up, delivered, told
-        self.addresses: dict[str, tuple[str, int]] = {}
-        self._spoilt = self.transmitted = 0  # transmitted: written whole to endpoints, for the figures
+        self.loop = loop
+        self._clock = clock
+        self.idle_ms = idle_ms
+        self.dial_ms = dial_ms
+        self._max_idle = max_idle
+        self.connected = connected
+        self.delivered = delivered
+        self._told = told
+        self.addresses: dict[str, tuple[str, int]] = {}  # by endpoint
+        self._malformed_count = 0
+        self.transmitted = 0  # requests written completely to endpoints, for the metrics
         self._idle: dict[Line, None] = {}  # oldest first
-        self._busy: dict[str, Line] = {}  # by document
+        self._busy: dict[str, Line] = {}  # by document id
 
-    def later(self, ms: float, what: Callable, *words: object) -> asyncio.TimerHandle:
-        return self.loop.call_later(ms / 1000.0, what, *words)
+    def later(self, ms: float, function: Callable, *arguments: object) -> asyncio.TimerHandle:
+        """Calls a function after a time in milliseconds."""
+        return self.loop.call_later(ms / 1000.0, function, *arguments)
 
     def since(self, moment: float) -> float:
+        """Milliseconds since a moment of the clock."""
         return self._clock() - moment
 
-    def count_spoilt(self, endpoint: str, problem: str) -> None:
-        self._spoilt += 1
-        if self._spoilt <= 3 or self._spoilt % 1000 == 0:
-            say(log, "spoilt answer", logging.WARNING, endpoint=endpoint, problem=problem, count=self._spoilt)
+    def count_malformed(self, endpoint: str, problem: str) -> None:
+        """Counts malformed responses; logs the first three and then each thousandth."""
+        self._malformed_count += 1
+        if self._malformed_count <= 3 or self._malformed_count % 1000 == 0:
+            say(
+                log,
+                "spoilt answer",
+                logging.WARNING,
+                endpoint=endpoint,
+                problem=problem,
+                count=self._malformed_count,
+            )
 
     def __len__(self) -> int:
         return len(self._busy)
 
     def gone(self, endpoint: str) -> None:
-        """Nothing is kept of an endpoint that left the list, but for the calls that are out."""
+        """Forgets an endpoint that left the list, except for its calls in flight."""
         self.addresses.pop(endpoint, None)
         self.close_idle(endpoint)
 
     def move(self, endpoint: str, where: tuple[str, int]) -> None:
-        """The address of an endpoint, perhaps a new one."""
+        """Sets the address of an endpoint; idle connections to another address are closed."""
         if self.addresses.get(endpoint) != where:
             self.addresses[endpoint] = where
             self.close_idle(endpoint)
 
     def begin(self, call: Call) -> bool:
-        """Finds it a connection: True if there is one that lies idle, else one is dialled."""
-        holds(call.doc not in self._busy, "one transmission of a document is out")
+        """Assigns a connection to a call: True if an idle one is ready, False if one is dialled."""
+        holds(call.doc not in self._busy, "a document has at most one transmission in flight")
         call.started = self._clock()
         line = self._newest(call.endpoint) or Line(self, call.endpoint, self.addresses[call.endpoint])
         self._busy[call.doc] = line
         line.begin(call)
-        return line.waits(call)
+        return line.ready_for(call)
 
     def waiting(self, call: Call) -> bool:
-        """True if it has its connection still, to where its endpoint is now, and was not written.
+        """True if the call still has a connection, to its endpoint's current address, and is not written.
 
-        Guards against what came since the connection was chosen or came up and was not read yet: an end or a
-        reset under a call that would then be in doubt, bytes that would pass for its answer. May hurt: what
-        comes after this look is met all the same."""
+        Guards against what arrived since the connection was chosen or established and has not been read yet:
+        an end or a reset, which would leave the call in doubt, and bytes that would be taken for its answer.
+        Limit: what arrives after this check is not noticed.
+        """
         line = self._busy.get(call.doc)
         return (
             line is not None
-            and line.waits(call)
-            and line.where == self.addresses.get(call.endpoint)
+            and line.ready_for(call)
+            and line.address == self.addresses.get(call.endpoint)
             and not line.stale()
         )
 
-    def go(self, call: Call, may: bool) -> None:
-        """Writes a call that has its connection, or ends it as one that never left."""
+    def go(self, call: Call, may_write: bool) -> None:
+        """Writes a call whose connection is established, or ends it as one that was never sent."""
         line = self._busy.get(call.doc)
-        if line is not None and line.waits(call):
+        if line is not None and line.ready_for(call):
             call.written = self._clock()
-            (line.write if may else line.stays)()
+            (line.write if may_write else line.cancel)()
 
     def _newest(self, endpoint: str) -> Line | None:
+        """Takes the most recently used idle connection to an endpoint, and closes stale ones on the way."""
         while line := next((each for each in reversed(self._idle) if each.endpoint == endpoint), None):
             del self._idle[line]
             if not line.stale():
@@ -306,28 +349,35 @@
             line.close()
         return None
 
-    def ended(self, line: Line, call: Call, keep: bool, how: tuple) -> None:
+    def ended(self, line: Line, call: Call, keep: bool, result: tuple) -> None:
+        """Pools or closes the connection of a call that ended, and reports the outcome.
+
+        result: the fields of the outcome, without those that are known here.
+        """
         self._busy.pop(call.doc, None)
-        kept = keep and line.where == self.addresses.get(line.endpoint)
+        kept = keep and line.address == self.addresses.get(line.endpoint)
         if kept:
             self._idle[line] = None
-            line.rests()
-            if len(self._idle) > self._most_idle:
-                self.drop(next(iter(self._idle)))
+            line.start_idle()
+            if len(self._idle) > self._max_idle:
+                self.discard(next(iter(self._idle)))
         else:
-            line.close()  # before the outcome is told: no two of one document are ever out
-        kind, *rest = how
+            line.close()  # before the outcome is reported: a document never has two transmissions in flight
+        kind, *rest = result
         elapsed_ms = self.since(call.started)
         self._told(call, our.Outcome(kind, call.number, elapsed_ms, *rest, kept))
 
-    def drop(self, line: Line) -> None:
+    def discard(self, line: Line) -> None:
+        """Removes an idle connection from the pool, and closes it."""
         self._idle.pop(line, None)
         line.close()
 
     def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to an endpoint."""
         for line in [each for each in self._idle if each.endpoint == endpoint]:
-            self.drop(line)
+            self.discard(line)
 
     def close(self) -> None:
+        """Closes all connections, those of calls in flight too."""
         for line in [*self._idle, *self._busy.values()]:
             line.close()
--- a/birchstack/net/driver.py
+++ b/birchstack/net/driver.py
@@ -1,7 +1,8 @@
-"""The thin layer between sockets and the state machines: asyncio's BufferedProtocol and dialling.
+"""A thin layer between sockets and the protocol state machines: asyncio's BufferedProtocol, and dialling.
 
-Owns transports and the one buffer all are read into. Must never look into the bytes, keep a time-out or
-decide what a broken connection means: its owner is told opened, received, ended, lost, and does that.
+Owns transports and the one buffer that all of them read into. Never looks into the bytes, keeps no time-out
+but the one of a closing connection, and does not decide what a broken connection means: its owner is told
+(opened, received, lost) and does that.
 """
 
 from __future__ import annotations
@@ -15,39 +16,46 @@
 from collections.abc import Callable
 from typing import Protocol
 
-BUFFER = memoryview(bytearray(65536))  # each read is handed on before the next one
-DRAINED = 262144  # more than so much is not read of what nobody wants
-LINGER_S = 1.0  # a reset would take an answer back that the peer has not read yet
-PEER_CLOSED = (7, 8, 9, 10, 11)  # TCP states: close, close-wait, last-ack, listen, closing
+READ_BUFFER = memoryview(bytearray(65536))  # shared: each read is consumed before the next one
+MAX_DISCARDED_BYTES = 262144  # after finish(): a peer that sends more than this is cut off
+LINGER_S = 1.0  # the close is delayed: a reset would destroy an answer that the peer has not read yet
+PEER_CLOSED_STATES = (7, 8, 9, 10, 11)  # TCP states: close, close-wait, last-ack, listen, closing
 
 
 class Owner(Protocol):
-    """Who holds a link. opened comes first, lost last; nothing after it."""
+    """Whoever uses a link. opened comes first, lost last; nothing comes after that."""
 
-    def opened(self, link: Link) -> None: ...
+    def opened(self, link: Link) -> None:
+        """The connection is established."""
 
-    def received(self, data: memoryview) -> None: ...
+    def received(self, data: memoryview) -> None:
+        """Bytes have come; they are valid during this call only."""
 
-    def lost(self) -> None: ...
+    def lost(self) -> None:
+        """The peer ended the connection, or it broke."""
 
 
 class Kernel:
-    """What the kernel knows of one socket. A transport whose network is not the kernel's brings its own, by
-    get_extra_info("kernel")."""
+    """What the kernel knows of a socket.
+
+    A transport over another network than the kernel's supplies its own, by get_extra_info("kernel").
+    """
 
     def __init__(self, sock: socket.socket | None) -> None:
         self._sock = sock
 
     def unread(self) -> int:
+        """Number of received bytes that were not read yet."""
         try:
             return struct.unpack("i", fcntl.ioctl(self._sock.fileno(), termios.FIONREAD, b"\0\0\0\0"))[0]
         except (OSError, AttributeError):
             return 0
 
     def told(self) -> tuple[float, bool]:
+        """Milliseconds since the last byte came, and whether the peer has closed."""
         try:
             info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
-            return float(struct.unpack_from("=I", info, 52)[0]), info[0] in PEER_CLOSED
+            return float(struct.unpack_from("=I", info, 52)[0]), info[0] in PEER_CLOSED_STATES
         except (OSError, struct.error, AttributeError):
             return 0.0, False
 
@@ -56,47 +64,55 @@
 
 
 class Link(asyncio.BufferedProtocol):
-    """One connection."""
+    """One connection. unsent: whether written bytes still wait to be taken by the kernel."""
 
     def __init__(self, owner: Owner) -> None:
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._kernel = NO_KERNEL
-        self.unsent, self.closed = False, False  # bytes wait here for the kernel to take them
-        self._over: Callable[[], None] | None = None
-        self._dropped = 0
+        self.unsent = False
+        self.closed = False
+        self._on_closed: Callable[[], None] | None = None
+        self._discarded_bytes = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Sets the connection up, and tells its owner."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
-        with contextlib.suppress(OSError, AttributeError):  # small writes held back would go with a close;
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # asyncio sees to those it dials
+        # asyncio sets TCP_NODELAY on connections that it dials. On accepted ones a small write that is held
+        # back would be lost with a close.
+        with contextlib.suppress(OSError, AttributeError):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._kernel = transport.get_extra_info("kernel") or Kernel(sock)
-        if self.closed:  # given up while it was dialled
+        if self.closed:  # aborted while it was dialled
             transport.abort()
             return
         transport.set_write_buffer_limits(high=0)
         self._owner.opened(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return BUFFER
+        """Returns the buffer for the next read."""
+        return READ_BUFFER
 
     def buffer_updated(self, count: int) -> None:
+        """Passes bytes to the owner; after finish() they are discarded, up to a limit."""
         if not self.closed:
-            self._owner.received(BUFFER[:count])
+            self._owner.received(READ_BUFFER[:count])
         else:
-            self._dropped += count
-            if self._dropped > DRAINED:
+            self._discarded_bytes += count
+            if self._discarded_bytes > MAX_DISCARDED_BYTES:
                 self._transport.abort()
 
     def eof_received(self) -> bool:
+        """Counts as lost; asyncio closes the transport."""
         self._lost()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tells the owner, or whoever called finish()."""
         self._lost()
-        if self._over:
-            self._over()
+        if self._on_closed:
+            self._on_closed()
 
     def _lost(self) -> None:
         if not self.closed:
@@ -104,49 +120,54 @@
             self._owner.lost()
 
     def pause_writing(self) -> None:
+        """The kernel's send buffer is full."""
         self.unsent = True
 
     def resume_writing(self) -> None:
+        """Everything written was taken by the kernel."""
         self.unsent = False
 
     def write(self, data: bytes) -> bool:
-        """False where the kernel took nothing of it: the connection was no more."""
+        """Writes bytes; False if the kernel took none of them, because the connection has ended."""
         if not self.closed:
             self._transport.write(data)
         return not self.closed and not self._transport.is_closing()
 
     def hold(self, stop: bool) -> None:
-        """Stops or resumes reading."""
+        """Pauses or resumes reading."""
         if not self.closed:
             (self._transport.pause_reading if stop else self._transport.resume_reading)()
 
-    def finish(self, over: Callable[[], None]) -> None:
-        """Ends the sending side once all is written; what still comes is dropped until it is over."""
+    def finish(self, on_closed: Callable[[], None]) -> None:
+        """Ends the sending side once everything is written; received bytes are discarded until the close."""
         if not self.closed:
-            self.closed, self._over = True, over
+            self.closed = True
+            self._on_closed = on_closed
             if not self._transport.is_closing():
                 self._transport.resume_reading()
                 self._transport.write_eof()
                 asyncio.get_running_loop().call_later(LINGER_S, self._transport.abort)
 
     def abort(self) -> None:
+        """Closes the connection at once; the owner is not told."""
         self.closed = True
         if self._transport:
             self._transport.abort()
 
     def unread(self) -> int:
-        """How many bytes the kernel has that were not read yet."""
+        """Number of received bytes that the kernel holds and that were not read yet."""
         return self._kernel.unread()
 
     def told(self) -> tuple[float, bool]:
-        """What the kernel knows: for how many milliseconds no byte has come, and whether the peer closed."""
+        """Milliseconds since the last byte came, and whether the peer has closed, as the kernel knows it."""
         return self._kernel.told()
 
 
 def address(text: str) -> tuple[str, int]:
+    """Parses host:port; raises ValueError if it is not valid."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text!r}")
+        raise ValueError(f"not an address (host:port): {text!r}")
     return host.strip("[]"), int(port)
 
 
@@ -154,7 +175,8 @@
     """One attempt to connect; failed() is called unless the owner was told opened, or stop() came first."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, where: tuple[str, int], owner: Owner, failed) -> None:
-        self.link, self._failed = Link(owner), failed
+        self.link = Link(owner)
+        self._failed = failed
         self._task = loop.create_task(loop.create_connection(lambda: self.link, *where))
         self._task.add_done_callback(self._done)
 
@@ -163,6 +185,7 @@
             self._failed()
 
     def stop(self) -> None:
+        """Gives the attempt up; a connection that was established meanwhile is closed."""
         self._failed = None
         if self._task.done():
             self.link.abort()
--- a/birchstack/net/http1.py
+++ b/birchstack/net/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as state machines: bytes in, small typed values out, and back.
+"""HTTP/1.1 without I/O: parsers from bytes to typed events, and encoders.
 
-Owns the syntax and its limits: heads, lengths, chunks, keep-alive. Must never know a socket or a clock, and
-never what a message is for. What breaks the syntax or a limit raises Malformed; the reader is then spent.
+Owns the syntax and its limits: heads, lengths, chunks, keep-alive. Knows no socket, no clock and not what a
+message is for. Input that breaks the syntax or a limit raises Malformed; the reader is then unusable.
 """
 
 from __future__ import annotations
@@ -10,10 +10,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MAX_HEAD, MAX_BODY, MAX_LINE = 16384, 65536, 256
-MAX_INFORMED = 32  # so many 1xx answers may come before the one that counts
+MAX_HEAD = 16384  # bytes
+MAX_BODY = 65536  # bytes
+MAX_LINE = 256  # bytes, of a chunk's size line and of a trailer line
+MAX_INTERIM_RESPONSES = 32  # 1xx responses before the final one
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-END = None  # the event that closes a message
+END = None  # the event at the end of a message
 REASONS = {
     200: "OK",
     202: "Accepted",
@@ -32,14 +34,14 @@
 TOKEN = r"[!#$%&'*+\-.^_`|~0-9A-Za-z]"
 FIELD = re.compile(rf"({TOKEN}+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*)")
 REQUEST_LINE = re.compile(rf"({TOKEN}{{1,16}}) ([!-~\x80-\xff]+) (HTTP/1\.[01])")
-REQUEST_BEGINS = re.compile(rf"{TOKEN}{{1,16}}( |\Z)".encode())
+REQUEST_LINE_START = re.compile(rf"{TOKEN}{{1,16}}( |\Z)".encode())
 STATUS_LINE = re.compile(r"(HTTP/1\.[01]) ([1-5][0-9][0-9])(?: [^\r\n]*)?")
-LENGTH = {10: re.compile("[0-9]{1,15}"), 16: re.compile("[0-9a-fA-F]{1,12}")}
-ONCE = ("content-length", "transfer-encoding", "host")
+LENGTH = {10: re.compile("[0-9]{1,15}"), 16: re.compile("[0-9a-fA-F]{1,12}")}  # by base
+SINGLE_FIELDS = ("content-length", "transfer-encoding", "host")  # may occur only once
 
 
 class Malformed(Exception):
-    """Not HTTP/1.1, or beyond a limit; status is what a server would answer."""
+    """Not HTTP/1.1, or beyond a limit; status is the one that a server would answer."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -48,51 +50,62 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """The head of a request; names of fields are in lower case."""
+
     method: str
     path: str
     fields: dict[str, str]
-    keep: bool
-    query: str = ""  # what follows the path's "?", as it came
+    keep: bool  # whether the connection persists after the message
+    query: str = ""  # what follows the path's "?", not decoded
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
+    """The head of a response; names of fields are in lower case."""
+
     status: int
     fields: dict[str, str]
-    keep: bool
+    keep: bool  # whether the connection persists after the message
 
 
-def _number(text: str, base: int = 10) -> int:
+def _parse_length(text: str, base: int = 10) -> int:
     if not LENGTH[base].fullmatch(text):
-        raise Malformed("not a length")
+        raise Malformed("invalid length")
     return int(text, base)
 
 
-def _fields(lines: list[str]) -> dict[str, str]:
+def _parse_fields(lines: list[str]) -> dict[str, str]:
     fields: dict[str, str] = {}
     for line in lines:
         field = FIELD.fullmatch(line)
         if not field:
-            raise Malformed("header line")
+            raise Malformed("invalid header line")
         name, value = field[1].lower(), field[2].rstrip(" \t")
         if name in fields:
-            if name in ONCE:
-                raise Malformed("a header that may come only once")
+            if name in SINGLE_FIELDS:
+                raise Malformed("duplicate header")
             value = f"{fields[name]}, {value}"
         fields[name] = value
     return fields
 
 
 class Reader:
-    """Cuts a stream into messages. feed() returns events: a head, pieces of its body, END; and so on."""
+    """Parses a stream of messages: feed() returns a head, pieces of its body and END for each of them.
+
+    _state is the method that parses the next bytes. It appends events to a list, and returns whether to go on
+    with the bytes that are left.
+    """
 
     def __init__(self, max_body: int | None = MAX_BODY) -> None:
-        self._held, self._state, self._max = bytearray(), self._first, max_body
-        self._left = self._seen = 0
+        self._buffer = bytearray()
+        self._state = self._start
+        self._max_body = max_body
+        self._remaining = 0  # bytes of the body or of the chunk
+        self._body_size = 0  # announced so far, for the limit
 
     def feed(self, data: bytes | memoryview) -> Iterator:
-        """Each event is told before what follows it is looked at."""
-        self._held += data
+        """Parses more bytes. Each event is returned before the bytes after it are looked at."""
+        self._buffer += data
         more = True
         while more:
             events: list = []
@@ -101,182 +114,185 @@
 
     @property
     def between(self) -> bool:
-        """True if no byte of a message unfinished is held."""
-        return self._state == self._first and not self._held
+        """True if no byte of an incomplete message is held."""
+        return self._state == self._start and not self._buffer
 
     def ended(self) -> bool:
-        """The stream is at its end: true if that completes a message whose length was not told."""
-        return self._state == self._until_end
+        """True if the end of the stream would complete a message without a declared length."""
+        return self._state == self._read_until_end
 
-    def _line(self, most: int) -> str | None:
-        at = self._held.find(b"\r\n", 0, most + 2)
+    def _read_line(self, max_bytes: int) -> str | None:
+        at = self._buffer.find(b"\r\n", 0, max_bytes + 2)
         if at < 0:
-            if len(self._held) > most:
+            if len(self._buffer) > max_bytes:
                 raise Malformed("line too long", 431)
             return None
-        line = self._held[:at].decode("latin-1")
-        del self._held[: at + 2]
+        line = self._buffer[:at].decode("latin-1")
+        del self._buffer[: at + 2]
         return line
 
-    def _first(self, events: list) -> bool:
-        """A message's first bytes: what they cannot become is told before the head is whole."""
+    def _start(self, events: list) -> bool:
+        """Validates the first bytes of a message, before its head is complete."""
         raise NotImplementedError
 
-    def _head(self, events: list) -> bool:
-        at = self._held.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
+    def _read_head(self, events: list) -> bool:
+        at = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
         if at < 0:
-            if len(self._held) > MAX_HEAD:
+            if len(self._buffer) > MAX_HEAD:
                 raise Malformed("head too long", 431)
-            if self._held.count(b"\n") != self._held.count(b"\r\n"):
+            if self._buffer.count(b"\n") != self._buffer.count(b"\r\n"):
                 raise Malformed("bare line feed")
             return False
-        first, *lines = self._held[:at].decode("latin-1").split("\r\n")
-        del self._held[: at + 4]
-        self._state = self._first
-        self._begin(first, _fields(lines), events)
+        first, *lines = self._buffer[:at].decode("latin-1").split("\r\n")
+        del self._buffer[: at + 4]
+        self._state = self._start
+        self._on_head(first, _parse_fields(lines), events)
         return True
 
-    def _begin(self, first: str, fields: dict[str, str], events: list) -> None:
+    def _on_head(self, first: str, fields: dict[str, str], events: list) -> None:
+        """Handles a complete head; first: the request line or the status line."""
         raise NotImplementedError
 
-    def _keeps(self, version: str, fields: dict[str, str]) -> bool:
-        words = {word.strip().lower() for word in fields.get("connection", "").split(",")}
-        return "close" not in words and (version == "HTTP/1.1" or "keep-alive" in words)
+    def _keep_alive(self, version: str, fields: dict[str, str]) -> bool:
+        options = {option.strip().lower() for option in fields.get("connection", "").split(",")}
+        return "close" not in options and (version == "HTTP/1.1" or "keep-alive" in options)
 
-    def _body(self, fields: dict[str, str], else_until_end: bool, events: list) -> None:
+    def _start_body(self, fields: dict[str, str], else_until_end: bool, events: list) -> None:
+        """Chooses how the body is read; else_until_end: without a declared length it ends with the stream."""
         coding, length = fields.get("transfer-encoding"), fields.get("content-length")
-        self._seen = 0
+        self._body_size = 0
         if coding is not None:
             if length is not None:
-                raise Malformed("length and transfer coding")
+                raise Malformed("both Content-Length and Transfer-Encoding")
             if coding.lower() != "chunked":
-                raise Malformed("transfer coding", 501)
-            self._state = self._size
+                raise Malformed("transfer coding not supported", 501)
+            self._state = self._read_chunk_size
         elif length is not None or not else_until_end:
-            self._left = _number(length) if length is not None else 0
-            self._bound(self._left)
-            self._state = self._whole
+            self._remaining = _parse_length(length) if length is not None else 0
+            self._check_body_size(self._remaining)
+            self._state = self._read_fixed_length
         else:
-            self._state = self._until_end
+            self._state = self._read_until_end
 
-    def _bound(self, more: int) -> None:
-        self._seen += more
-        if self._max is not None and self._seen > self._max:
+    def _check_body_size(self, more: int) -> None:
+        self._body_size += more
+        if self._max_body is not None and self._body_size > self._max_body:
             raise Malformed("body too long", 413)
 
-    def _take(self, events: list) -> None:
-        if self._left and self._held:
-            events.append(bytes(self._held[: self._left]))
-            del self._held[: self._left]
-            self._left -= len(events[-1])
+    def _take_body(self, events: list) -> None:
+        if self._remaining and self._buffer:
+            events.append(bytes(self._buffer[: self._remaining]))
+            del self._buffer[: self._remaining]
+            self._remaining -= len(events[-1])
 
-    def _whole(self, events: list) -> bool:
-        self._take(events)
-        if self._left:
+    def _read_fixed_length(self, events: list) -> bool:
+        self._take_body(events)
+        if self._remaining:
             return False
-        self._state = self._first
+        self._state = self._start
         events.append(END)
-        return bool(self._held)
+        return bool(self._buffer)
 
-    def _size(self, events: list) -> bool:
-        line = self._line(MAX_LINE)
+    def _read_chunk_size(self, events: list) -> bool:
+        line = self._read_line(MAX_LINE)
         if line is None:
             return False
-        self._left = _number(line.partition(";")[0].strip(), 16)
-        self._bound(self._left)
-        self._state = self._chunk if self._left else self._trailer
+        self._remaining = _parse_length(line.partition(";")[0].strip(), 16)
+        self._check_body_size(self._remaining)
+        self._state = self._read_chunk if self._remaining else self._read_trailer
         return True
 
-    def _chunk(self, events: list) -> bool:
-        self._take(events)
-        if self._left or len(self._held) < 2:
+    def _read_chunk(self, events: list) -> bool:
+        self._take_body(events)
+        if self._remaining or len(self._buffer) < 2:
             return False
-        if self._held[:2] != b"\r\n":
-            raise Malformed("chunk without its end")
-        del self._held[:2]
-        self._state = self._size
+        if self._buffer[:2] != b"\r\n":
+            raise Malformed("chunk not terminated by CRLF")
+        del self._buffer[:2]
+        self._state = self._read_chunk_size
         return True
 
-    def _trailer(self, events: list) -> bool:
-        line = self._line(MAX_LINE)
+    def _read_trailer(self, events: list) -> bool:
+        line = self._read_line(MAX_LINE)
         if line is None:
             return False
         if line:
-            _fields([line])
-            self._bound(len(line))
+            _parse_fields([line])
+            self._check_body_size(len(line))
         else:
-            self._state = self._first
+            self._state = self._start
             events.append(END)
-        return bool(self._held)
+        return bool(self._buffer)
 
-    def _until_end(self, events: list) -> bool:
-        if self._held:
-            events.append(bytes(self._held))
-            self._bound(len(self._held))
-            self._held.clear()
+    def _read_until_end(self, events: list) -> bool:
+        if self._buffer:
+            events.append(bytes(self._buffer))
+            self._check_body_size(len(self._buffer))
+            self._buffer.clear()
         return False
 
 
 class Requests(Reader):
-    """What a server reads."""
+    """Parses requests, for a server."""
 
-    _blank = False
+    _skipped_blank = False  # an empty line before the request line, as RFC 9112 permits
 
-    def _first(self, events: list) -> bool:
-        if self._held[:2] == b"\r\n" and not self._blank:  # one empty line before a first line may pass
-            del self._held[:2]
-            self._blank = True
-        if not self._held or self._held == b"\r":
+    def _start(self, events: list) -> bool:
+        if self._buffer[:2] == b"\r\n" and not self._skipped_blank:
+            del self._buffer[:2]
+            self._skipped_blank = True
+        if not self._buffer or self._buffer == b"\r":
             return False
-        if not REQUEST_BEGINS.match(self._held):
-            raise Malformed("request line")
-        self._state = self._head
+        if not REQUEST_LINE_START.match(self._buffer):
+            raise Malformed("invalid request line")
+        self._state = self._read_head
         return True
 
-    def _begin(self, first: str, fields: dict[str, str], events: list) -> None:
+    def _on_head(self, first: str, fields: dict[str, str], events: list) -> None:
         line = REQUEST_LINE.fullmatch(first)
         if not line:
-            raise Malformed("request line")
+            raise Malformed("invalid request line")
         method, target, version = line.groups()
-        self._blank = False
+        self._skipped_blank = False
         if "host" not in fields and version == "HTTP/1.1":
-            raise Malformed("no host")
+            raise Malformed("no Host header")
         path, _, query = target.partition("?")
-        events.append(Request(method, path, fields, self._keeps(version, fields), query))
-        self._body(fields, False, events)
+        events.append(Request(method, path, fields, self._keep_alive(version, fields), query))
+        self._start_body(fields, False, events)
 
 
 class Responses(Reader):
-    """What a client reads."""
+    """Parses responses, for a client."""
 
-    told, _informed = 0, 0  # the status of the last first line that came whole; 1xx so far
+    told = 0  # status of the last complete status line that is not a 1xx; its head may be incomplete
+    _interim = 0  # 1xx responses so far
 
-    def _first(self, events: list) -> bool:
-        if self._held[:7] != b"HTTP/1."[: len(self._held)]:
-            raise Malformed("status line")
-        at = self._held.find(b"\n", 0, MAX_HEAD)
+    def _start(self, events: list) -> bool:
+        if self._buffer[:7] != b"HTTP/1."[: len(self._buffer)]:
+            raise Malformed("invalid status line")
+        at = self._buffer.find(b"\n", 0, MAX_HEAD)
         if at < 0:
-            if len(self._held) > MAX_HEAD:
-                raise Malformed("status line", 431)
+            if len(self._buffer) > MAX_HEAD:
+                raise Malformed("status line too long", 431)
             return False
-        line = STATUS_LINE.fullmatch(self._held[:at].decode("latin-1").removesuffix("\r"))
+        line = STATUS_LINE.fullmatch(self._buffer[:at].decode("latin-1").removesuffix("\r"))
         if not line:
-            raise Malformed("status line")
+            raise Malformed("invalid status line")
         status = int(line[2])
         if status >= 200:
             self.told = status
-        self._state = self._head
+        self._state = self._read_head
         return True
 
-    def _begin(self, first: str, fields: dict[str, str], events: list) -> None:
+    def _on_head(self, first: str, fields: dict[str, str], events: list) -> None:
         line = STATUS_LINE.fullmatch(first)
         if not line:
-            raise Malformed("status line")
-        status, keep = int(line[2]), self._keeps(line[1], fields)
-        if status < 200:  # an answer to come is announced
-            self._informed += 1
-            if self._informed > MAX_INFORMED or status == 101:
-                raise Malformed("only announcements")
+            raise Malformed("invalid status line")
+        status, keep = int(line[2]), self._keep_alive(line[1], fields)
+        if status < 200:  # an interim response: the final one is still to come
+            self._interim += 1
+            if self._interim > MAX_INTERIM_RESPONSES or status == 101:
+                raise Malformed("too many interim responses, or 101")
             return
         until_end = (
             fields.get("transfer-encoding") is None
@@ -284,19 +300,20 @@
             and status not in (204, 304)
         )
         events.append(Response(status, fields, keep and not until_end))
-        self._body({} if status in (204, 304) else fields, until_end, events)
+        self._start_body({} if status in (204, 304) else fields, until_end, events)
 
 
-def _message(first: str, fields: dict[str, object], body: bytes) -> bytes:
+def _encode(first: str, fields: dict[str, object], body: bytes) -> bytes:
     lines = [first, *(f"{name}: {value}" for name, value in fields.items())]
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
 
 
 def response(status: int, fields: dict[str, object] | None = None, close: bool = False) -> bytes:
-    ends = {"Connection": "close"} if close else {}
-    return _message(
+    """Encodes a response without a body; close: with Connection: close."""
+    connection = {"Connection": "close"} if close else {}
+    return _encode(
         f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}",
-        {**(fields or {}), "Content-Length": 0, **ends},
+        {**(fields or {}), "Content-Length": 0, **connection},
         b"",
     )
 
@@ -304,5 +321,6 @@
 def request(
     method: str, path: str, host: str, fields: dict[str, object] | None = None, body: bytes = b""
 ) -> bytes:
+    """Encodes a request; only a POST declares the length of its body."""
     length = {"Content-Length": len(body)} if method == "POST" else {}
-    return _message(f"{method} {path} HTTP/1.1", {"Host": host, **(fields or {}), **length}, body)
+    return _encode(f"{method} {path} HTTP/1.1", {"Host": host, **(fields or {}), **length}, body)
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -1,11 +1,11 @@
-"""Documents beyond a destination's window: on disk until the decisions want them.
-
-Owns the order between the store and the ledger, and when the store is read. A document is in one of them, but
-for a moment: what comes back is written to the ledger first, then the store is told, and only then the
-decisions hear of it; a start tells the store what the ledger has. Must never decide which document waits on
-disk, comes back or is refused: the decisions are asked (Sender.room, Sender.back_ms), and a document whose
-time runs out on disk is handed to them, to be ended as any other. The one store there is:
-birchstack.backlog, switched on by BALANCER_BACKLOG.
+"""Documents beyond a destination's window: kept in a store on disk until the decision logic wants them.
+
+Owns the order of writes to the store and the ledger, and when the store is read. Each document is in one of
+the two, except for a moment: one that leaves the store is written to the ledger first, then removed from the
+store, and only then submitted to the decision logic; at a start, the store drops what the ledger has. Never
+decides which document waits on disk, is read back or is refused: the decision logic is asked (Sender.room,
+Sender.back_ms), and a document that expires on disk is submitted to it, and ends like any other. The one
+implementation of a store is birchstack.backlog, enabled by BALANCER_BACKLOG.
 """
 
 from __future__ import annotations
@@ -21,14 +21,17 @@
 from birchstack.net.log import say
 from birchstack.net.machine import Folder
 
-LINES, RUN, DUE = 16, 32, 64  # in one turn: destinations read from, documents of each, and of those overdue
-LAST_MS = CALL_MS - 1.0  # so long before their expiry the decisions surely send them no more
-AGAIN_S, LONGEST_S = 0.5, 86400.0  # after an error of the disk; asyncio's timers hold no more than days
+MAX_DESTINATIONS = 16  # read in one turn
+MAX_READ = 32  # documents read of each of them
+MAX_OVERDUE = 64  # overdue documents read in one turn
+LAST_MS = CALL_MS - 1.0  # this long before the expiry, the decision logic surely starts no transmission
+RETRY_S = 0.5  # after a disk error
+MAX_TIMER_S = 86400.0  # asyncio's timers accept no more than days
 log = logging.getLogger(__name__)
 
 
 class Kept(Protocol):
-    """One document on disk, untried; times in milliseconds of the lasting clock."""
+    """One document on disk, not transmitted yet; times are milliseconds of the lasting clock."""
 
     id: str
     type: str
@@ -42,51 +45,70 @@
 
 
 class Store(Protocol):
-    """Errors of the disk are OSError; every change is recorded when its method returns."""
+    """Documents on disk, in order by destination.
+
+    Disk errors are raised as OSError; every change is on disk when its method returns.
+    """
 
     def __len__(self) -> int: ...
 
-    def waiting(self, destination: int) -> tuple[int, float]: ...
+    def waiting(self, destination: int) -> tuple[int, float]:
+        """Number of documents of a destination, and since when the first one waits (or an earlier time)."""
 
-    def fits(self, sizes: list[int]) -> bool: ...
+    def fits(self, sizes: list[int]) -> bool:
+        """True if bodies of these sizes can be added."""
 
-    def append(self, kept: Kept) -> None: ...
+    def append(self, kept: Kept) -> None:
+        """Adds a document behind the others of its destination."""
 
-    def holds(self, doc_id: str) -> bool: ...
+    def holds(self, doc_id: str) -> bool:
+        """True if the document is here."""
 
-    def read(self, destination: int, most: int) -> list[Kept]: ...
+    def read(self, destination: int, most: int) -> list[Kept]:
+        """Reads the first documents of a destination; they stay until moved()."""
 
-    def moved(self, destination: int, count: int) -> None: ...
+    def moved(self, destination: int, count: int) -> None:
+        """Removes the first documents of a destination: the ledger has them."""
 
-    def due(self, now: float, most: int) -> list[Kept]: ...
+    def due(self, now: float, most: int) -> list[Kept]:
+        """Reads documents that expire by the given time; they stay until ended()."""
 
-    def ended(self, ids: list[str]) -> None: ...
+    def ended(self, ids: list[str]) -> None:
+        """Removes documents that due() returned."""
 
-    def next_due(self) -> float: ...
+    def next_due(self) -> float:
+        """The earliest expiry of all documents, or an earlier time."""
 
-    def destinations(self) -> Iterable[int]: ...
+    def destinations(self) -> Iterable[int]:
+        """The destinations that have documents here."""
 
-    def drop(self, ids: Iterable[str]) -> None: ...
+    def drop(self, ids: Iterable[str]) -> None:
+        """Removes those of the documents that are here."""
 
-    def step(self) -> bool: ...
+    def step(self) -> bool:
+        """Does a piece of housekeeping; True while more is due."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the files."""
 
 
 class Made(NamedTuple):
-    """window: of documents before the decisions; kept: makes a Kept of its words, in their order."""
+    """An opened store. window: documents of a destination in memory; kept: makes a Kept, fields in order."""
 
     store: Store
     window: int
     kept: Callable[..., Kept]
 
 
-Make = Callable[[Folder, float], Made]  # of the folder, at a time of the lasting clock
+Make = Callable[[Folder, float], Made]  # opens the store of a folder, at a time of the lasting clock
 
 
 class Overflow:
-    """turn() has its part in each turn of the sender; adopt(now, owed, tenant) puts a document that came back
-    to the decisions; soon() asks for another turn."""
+    """Moves documents between the store and the ledger.
+
+    turn() is called in each turn of the sender. adopt(now, owed, tenant) submits a document that was read
+    back to the decision logic; soon() schedules another turn.
+    """
 
     def __init__(
         self,
@@ -99,50 +121,63 @@
         soon: Callable[[], None],
     ) -> None:
         self._store, self._window, self._kept = made
-        self._ledger, self._core, self._adopt, self._soon = ledger, core, adopt, soon
-        self._loop, self._began = loop, wall
+        self._ledger = ledger
+        self._core = core
+        self._submit = adopt
+        self._schedule_turn = soon
+        self._loop = loop
+        self._started_at = wall
         self._store.drop([*ledger.ended, *ledger.owed])
         ledger.freed = self.freed
-        self._fresh: dict[str, Handed] = {}  # of this turn, not recorded yet
-        self._ahead: dict[int, int] = {}  # how many of those, by destination
-        self._lines = dict.fromkeys(self._store.destinations())  # that have something on disk
-        self._stirred = dict.fromkeys(self._lines)  # of those, where there may be room
-        self._tidy = self._begins = True  # whether housekeeping is due; nothing was asked yet
+        self._pending: dict[str, Handed] = {}  # accepted in this turn, not recorded yet
+        self._pending_counts: dict[int, int] = {}  # of those, by destination
+        self._stored = dict.fromkeys(self._store.destinations())  # destinations with documents on disk
+        self._to_read = dict.fromkeys(self._stored)  # of those, the ones that may have room
+        self._housekeeping_due = True
+        self._first_turn = True
         self._timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
         return len(self._store)
 
-    def __bool__(self) -> bool:  # an empty one, too, is there
+    def __bool__(self) -> bool:  # an overflow without documents is true as well
         return True
 
     def holds(self, doc_id: str) -> bool:
+        """True if the document is in the ledger or in the store."""
         return doc_id in self._ledger.owed or self._store.holds(doc_id)
 
     def takes(self, now: float, handed: Handed, age_ms: float, advice_ms: float) -> tuple[str, float] | None:
-        """None: it goes before the decisions. Else it waits on disk (TAKEN, once recorded), or is refused, to
-        come again after so many milliseconds."""
-        where, size = handed.destination, len(handed.body)
-        ahead = self._store.waiting(where)[0] + self._ahead.get(where, 0)
-        room = self._core.room(where, self._window, len(self._lines), ahead)
+        """Decides where a new document goes: None if it is submitted to the decision logic at once.
+
+        Otherwise a verdict and a wait in ms: TAKEN if it waits on disk, to be answered once it is recorded,
+        or a refusal, after whose wait the client may submit it again.
+        """
+        destination = handed.destination
+        size = len(handed.body)
+        ahead = self._store.waiting(destination)[0] + self._pending_counts.get(destination, 0)
+        room = self._core.room(destination, self._window, len(self._stored), ahead)
         if not ahead and room > 0 and self._ledger.fits([size]):
             return None
-        if back_ms := self._core.back_ms(now, where, handed.left_ms - age_ms, ahead):
+        if back_ms := self._core.back_ms(now, destination, handed.left_ms - age_ms, ahead):
             return REJECTED, back_ms
-        if not self._store.fits([size, *(len(each.body) for each in self._fresh.values())]):
+        if not self._store.fits([size, *(len(each.body) for each in self._pending.values())]):
             return CLOSED, advice_ms
         handed.left_ms -= age_ms
-        self._fresh[handed.id] = handed
-        self._ahead[where] = self._ahead.get(where, 0) + 1
+        self._pending[handed.id] = handed
+        self._pending_counts[destination] = self._pending_counts.get(destination, 0) + 1
         return TAKEN, 0.0
 
     def record(self, handed: Handed, wall: float) -> bool:
-        """False if it is not one for the disk; raises OSError where it could not be recorded."""
-        if self._fresh.pop(handed.id, None) is None:
+        """Writes a document that takes() accepted to the store; False if it is not one of those.
+
+        Raises OSError if it could not be written.
+        """
+        if self._pending.pop(handed.id, None) is None:
             return False
-        self._ahead[handed.destination] -= 1
-        if not self._ahead[handed.destination]:
-            del self._ahead[handed.destination]
+        self._pending_counts[handed.destination] -= 1
+        if not self._pending_counts[handed.destination]:
+            del self._pending_counts[handed.destination]
         self._store.append(
             self._kept(
                 handed.id,
@@ -156,86 +191,92 @@
                 wall,
             )
         )
-        self._lines[handed.destination] = self._stirred[handed.destination] = self._tidy = True
+        self._stored[handed.destination] = self._to_read[handed.destination] = self._housekeeping_due = True
         return True
 
     def freed(self, destination: int) -> None:
-        """One of its documents ended, or a call there."""
-        if destination in self._lines:
-            self._stirred[destination] = True
-            self._soon()
+        """A document of the destination, or a call to it, has ended: there may be room for the next."""
+        if destination in self._stored:
+            self._to_read[destination] = True
+            self._schedule_turn()
 
     def turn(self, now: float, wall: float) -> None:
-        """What runs out of time on disk, and what there is room for, come before the decisions."""
+        """Submits documents that expire on disk, and those that there is room for, to the decision logic."""
         if self._timer:
             self._timer.cancel()
-        for destination in self._lines if self._begins else ():
-            self._room(destination)  # the decisions know, before the first call, what waits where
-        self._begins = False
+        for destination in self._stored if self._first_turn else ():
+            self._room(destination)  # tells the decision logic before its first call how many wait on disk
+        self._first_turn = False
         try:
             more = self._end_overdue(now, wall)
-            for destination in [*self._stirred][:LINES]:
-                if self._read(now, destination) < RUN:  # no more room, or nothing left: until one ends
-                    self._stirred.pop(destination, None)
-            self._tidy = self._tidy and self._store.step()
+            for destination in [*self._to_read][:MAX_DESTINATIONS]:
+                if self._read(now, destination) < MAX_READ:  # no more room, or none left: until one ends
+                    self._to_read.pop(destination, None)
+            self._housekeeping_due = self._housekeeping_due and self._store.step()
         except OSError as problem:
             say(log, "backlog not read", logging.ERROR, problem=problem)
-            self._timer = self._loop.call_later(AGAIN_S, self._soon)
+            self._timer = self._loop.call_later(RETRY_S, self._schedule_turn)
             return
-        if more or self._stirred or self._tidy:
-            self._loop.call_soon(self._soon)  # others have their pass first
+        if more or self._to_read or self._housekeeping_due:
+            self._loop.call_soon(self._schedule_turn)  # a pass later, so that other work is not held up
         due_s = (self._store.next_due() - LAST_MS - wall) / 1000.0
-        if due_s < LONGEST_S:
-            self._timer = self._loop.call_later(max(0.0, due_s), self._soon)
+        if due_s < MAX_TIMER_S:
+            self._timer = self._loop.call_later(max(0.0, due_s), self._schedule_turn)
 
     def close(self) -> None:
+        """Closes the store."""
         if self._timer:
             self._timer.cancel()
         self._store.close()
 
     def _end_overdue(self, now: float, wall: float) -> bool:
-        """No transmission would help these any more: the decisions end each in this turn."""
-        overdue = self._store.due(wall + LAST_MS, DUE)
+        """Submits documents too close to their expiry for a transmission: they are ended in this turn.
+
+        Returns whether there may be more of them.
+        """
+        overdue = self._store.due(wall + LAST_MS, MAX_OVERDUE)
         for kept in overdue:
             self._move(kept)
         if overdue:
             self._store.ended([kept.id for kept in overdue])
-            self._tidy = True
+            self._housekeeping_due = True
         for kept in overdue:
-            self._hand_over(now, kept)
-            self._gone_by(kept.destination)
-        return len(overdue) == DUE
+            self._submit_moved(now, kept)
+            self._forget_if_empty(kept.destination)
+        return len(overdue) == MAX_OVERDUE
 
-    def _gone_by(self, destination: int) -> None:
+    def _forget_if_empty(self, destination: int) -> None:
         if not self._store.waiting(destination)[0]:
-            self._lines.pop(destination, None)
-            self._stirred.pop(destination, None)
+            self._stored.pop(destination, None)
+            self._to_read.pop(destination, None)
 
     def _room(self, destination: int) -> int:
-        kept = self._store.waiting(destination)[0]
-        return self._core.room(destination, self._window, len(self._lines), kept)
+        waiting = self._store.waiting(destination)[0]
+        return self._core.room(destination, self._window, len(self._stored), waiting)
 
     def _read(self, now: float, destination: int) -> int:
-        most = min(RUN, self._room(destination))
-        run: list[Kept] = []
+        """Moves and submits as many documents of a destination as there is room for; returns how many."""
+        most = min(MAX_READ, self._room(destination))
+        moved: list[Kept] = []
         for kept in self._store.read(destination, most) if most > 0 else ():
             if not self._ledger.fits([len(kept.body)]):
                 break
             self._move(kept)
-            run.append(kept)
-        if run:
-            self._store.moved(destination, len(run))
-            self._tidy = True
-        for kept in run:
-            self._hand_over(now, kept)
-        self._gone_by(destination)
-        return len(run)
+            moved.append(kept)
+        if moved:
+            self._store.moved(destination, len(moved))
+            self._housekeeping_due = True
+        for kept in moved:
+            self._submit_moved(now, kept)
+        self._forget_if_empty(destination)
+        return len(moved)
 
     def _move(self, kept: Kept) -> None:
+        """Writes a document of the store to the ledger."""
         owed = self._ledger.take(
             kept.id, kept.type, kept.destination, kept.key, kept.expiry, kept.body, kept.repeat_key
         )
-        owed.found = kept.taken < self._began
+        owed.found = kept.taken < self._started_at
 
-    def _hand_over(self, now: float, kept: Kept) -> None:
-        self._adopt(now, self._ledger.owed[kept.id], kept.tenant)
+    def _submit_moved(self, now: float, kept: Kept) -> None:
+        self._submit(now, self._ledger.owed[kept.id], kept.tenant)
--- a/birchstack/net/room.py
+++ b/birchstack/net/room.py
@@ -1,6 +1,6 @@
-"""File descriptors: how many there are, and who may have how many of them.
+"""Divides the file descriptors of the process among its kinds of connections.
 
-Owns the division alone. Must never count what is open: who owns connections keeps to the share named here.
+Owns the division alone and never counts what is open: whoever owns connections keeps to its share.
 """
 
 from __future__ import annotations
@@ -9,17 +9,22 @@
 
 from birchstack.net.config import Config
 
-# Never clients' nor calls': standard streams, the loop's own, listeners, lock, ledger and its new file,
-# bodies, watch and notices (an old connection beside a new one), a trail. Twelve are held at rest.
+# Never used for clients or calls: standard streams, the event loop's own, listeners, the lock, the ledger and
+# its new file, bodies, watch and notices (an old connection beside a new one), the audit trail. An idle
+# process holds twelve.
 RESERVE = 24
-CLIENTS_SHARE = 40  # at most, in hundredths; a quarter is theirs whatever the calls may need
-POOLED = 8  # idle connections to endpoints that are kept at least
+CLIENTS_PERCENT = 40  # at most for clients; a quarter is theirs whatever the calls may need
+MIN_IDLE = 8  # idle connections to endpoints that are kept at least
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shares:
-    """clients: with those that are ending; coming: let in and not known yet, and as many not closed yet;
-    callers: at the operators' door; idle: connections to endpoints that lie idle; slots: calls out."""
+    """How many descriptors each kind of connection may use.
+
+    clients: client connections, closing ones included; coming: accepted and not registered yet, and as many
+    again that are not closed yet; callers: operators' connections; idle: idle connections to endpoints;
+    slots: calls in flight.
+    """
 
     clients: int
     coming: int
@@ -29,21 +34,22 @@
 
 
 def coming(clients: int) -> int:
-    """How many clients may be let in at once, where so many may be in."""
+    """How many client connections may be accepted at once, out of that many clients."""
     return max(2, min(16, clients // 8))
 
 
 def shares(descriptors: int, slots: int) -> Shares:
-    """From 64 descriptors up the shares and the reserve fit; of slots, as many as there is room for."""
-    callers, most = max(4, min(64, descriptors // 16)), descriptors * CLIENTS_SHARE // 100
-    rest = descriptors - RESERVE - callers - 2 * coming(most)
-    clients = max(2, min(most, max(descriptors // 4, rest - POOLED - slots)))
-    slots = max(1, min(slots, rest - POOLED - clients))
-    return Shares(clients, coming(clients), callers, max(POOLED, rest - clients - slots), slots)
+    """Divides the descriptors: from 64 up, the shares and the reserve fit; slots are cut to what fits."""
+    callers = max(4, min(64, descriptors // 16))
+    max_clients = descriptors * CLIENTS_PERCENT // 100
+    rest = descriptors - RESERVE - callers - 2 * coming(max_clients)
+    clients = max(2, min(max_clients, max(descriptors // 4, rest - MIN_IDLE - slots)))
+    slots = max(1, min(slots, rest - MIN_IDLE - clients))
+    return Shares(clients, coming(clients), callers, max(MIN_IDLE, rest - clients - slots), slots)
 
 
 def fitted(config: Config, descriptors: int) -> Config:
-    """The configuration within what the system lets the process have: no more sockets, no more calls out."""
+    """Returns the configuration with sockets and slots cut to the descriptors that the system allows."""
     sockets = min(config.sockets, descriptors)
     slots = shares(sockets, config.settings.slots).slots
     return dataclasses.replace(
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -1,8 +1,8 @@
-"""The host of the decisions: one sender, from its start to its end.
+"""One sender process: hosts the decision logic (decide.py) and carries out what it asks for.
 
-Owns the clock, the turns (all events of one pass of the loop are one turn), the alarm and the order in which
-things become true: the ledger, then the answer to the client, then the call. Must never decide which document
-goes where, when, or how it ends: the decisions do, and what they say is carried out here.
+Owns the clock, the turns (all events of one pass of the event loop form one turn), the wake-up timer and the
+order of effects: first the ledger is written, then the client is answered, then the call is made. Never
+decides which document goes to which endpoint, when it goes or how it ends: that is up to the decision logic.
 """
 
 from __future__ import annotations
@@ -26,25 +26,30 @@
 from birchstack.net.machine import LastingClock, Machine
 from birchstack.net.notices import Notices
 from birchstack.net.operators import Answer, Door, Figures
-from birchstack.net.operators import Calls as Asked
+from birchstack.net.operators import Calls as OperatorCalls
 from birchstack.net.overflow import Make as MakeStore
 from birchstack.net.overflow import Overflow
 from birchstack.net.recollection import Recollection
 from birchstack.net.room import fitted, shares
 from birchstack.net.tally import Tally
 
-LISTEN_S, CALL_S, END_S = 0.8, 2.9, 3.5  # after SIGTERM: new clients, new calls, answers to calls
-OVERDUE_MS = 100.0  # past its expiry, a document that has no end is overdue
-NEAR_MS = 100.0  # an answer so shortly before it may count as too late: clocks and sockets lag
-REPORT_S = 60.0
-REMEMBERED = 4096  # answers kept for ids that come again
-LINK_S = 0.5  # whether signals still come is looked at so often
-LOCK, LOOK_S, LAX = "lock", 0.05, 20  # held by the process that sends from the folder; asked for so often
+# Graceful shutdown, in seconds after SIGTERM
+ACCEPT_CLIENTS_S = 0.8  # new client connections are accepted until then
+START_CALLS_S = 2.9  # new calls are started until then
+FINISH_CALLS_S = 3.5  # calls in flight are waited for until then
+OVERDUE_MS = 100.0  # a document that has not ended this long after its expiry is overdue
+EXPIRY_MARGIN_MS = 100.0  # an answer this close to the expiry may count as too late: clocks and sockets lag
+STATE_LOG_INTERVAL_S = 60.0
+MAX_REMEMBERED_ANSWERS = 4096  # answers kept for document ids that are submitted again
+SIGNAL_CHECK_S = 0.5  # interval between checks whether signals of other senders still arrive
+LOCK_NAME = "lock"  # held by the process that sends from the folder
+LOCK_CHECK_S = 0.05  # interval between attempts of a waiting process to take the lock
+HOLDER_CHECK_FACTOR = 20  # the process that holds the lock looks for files to adopt this much less often
 log = logging.getLogger(__name__)
 
 
 class Node:
-    """Carries out what the decisions say, and tells them what happens."""
+    """Hosts the decision logic: reports events to it and carries out its requests (interface.Host)."""
 
     def __init__(
         self,
@@ -56,12 +61,13 @@
     ) -> None:
         self._machine = machine or Machine()
         self._config = config = fitted(config, self._machine.descriptors())
-        self._loop, self._began = loop, loop.time()
+        self._loop = loop
+        self._started_at = loop.time()
         folder = self._folder = self._machine.folder(config.state)
         self._lasting = LastingClock(self._machine, folder)
         self._core = Sender(config.settings, config.seed, self)
-        self._holds = folder.lock(LOCK)  # else another process of this sender holds it, and sends
-        self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds else self._machine.unique())
+        self._holds_lock = folder.lock(LOCK_NAME)  # False: another process of this sender holds it and sends
+        self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds_lock else self._machine.unique())
         room = shares(config.sockets, config.settings.slots)
         self._calls = Calls(
             loop,
@@ -69,118 +75,122 @@
             config.idle_ms,
             config.dial_ms,
             room.idle,
-            self._up,
-            self._delivered,
-            self._ended,
+            self._on_connected,
+            self._on_delivered,
+            self._on_call_end,
         )
         types = {kind.name: kind.expiry_ms for kind in config.settings.types}
         self._list = Listed(self._calls)
-        self._front = Front(loop, types, room.clients, self._list.serves, self._handed)
-        self._watch = Watch(loop, config.discovery, config.kinds, self._listed, self._told)
-        self._notices = Notices(loop, config.discovery, self._acknowledged)
-        self._inbox: list[tuple] = []  # the events of this pass
-        self._fresh: dict[str, Handed] = {}  # handed in during this turn, not yet answered
-        self._starting: dict[str, Call] = {}  # calls that begin at the end of this turn
-        self._connected: list[Call] = []  # calls with their connection: they leave at its end
-        self._answers: dict[str, tuple[str, float]] = {}  # by id, for those that come again
+        self._front = Front(loop, types, room.clients, self._list.serves, self._on_document)
+        self._watch = Watch(loop, config.discovery, config.kinds, self._on_list, self._may_apply_list)
+        self._notices = Notices(loop, config.discovery, self._on_acknowledged)
+        self._events: list[tuple] = []  # events of this pass, for the next turn
+        self._pending: dict[str, Handed] = {}  # documents submitted during this turn, not answered yet
+        self._starting: dict[str, Call] = {}  # calls to start at the end of this turn
+        self._connected: list[Call] = []  # calls whose connection is established, to write at the turn's end
+        self._answers: dict[str, tuple[str, float]] = {}  # by document id, for ids that are submitted again
         self._by_hand = ByHand(folder, self._lasting.ms)
-        self._recalled = self._recollection() if self._holds else None
+        self._recalled = self._recollection() if self._holds_lock else None
         self._tally = Tally()
-        self._reloads = [0, 0]  # configurations taken over, and not taken over
-        self._turn_due, self._turned_at = False, 0.0
+        self._reloads = [0, 0]  # configurations applied and rejected
+        self._turn_due = False
+        self._last_turn_at = 0.0
         self._alarm: asyncio.TimerHandle | None = None
         self._closing_at: float | None = None
-        self._ready = self._handing = False  # handing: another process waits to send what this one holds
-        self._unheard: list[tuple[str, list]] = []  # lists, while another process holds the folder
-        self._linked = False  # whether the decisions were told that signals of other senders come
-        self._audit = audit(config, self._machine, folder, self._status, self._reported) if audit else None
-        asked = Asked(
-            self._ready_now,
+        self._ready = False
+        self._handing_over = False  # another process waits to send what this one holds
+        self._deferred_lists: list[tuple[str, list]] = []  # received while another process holds the folder
+        self._signals_live = False  # whether the decision logic was told that signals of other senders arrive
+        self._audit = audit(config, self._machine, folder, self._status, self._on_signals) if audit else None
+        operator_calls = OperatorCalls(
+            self._readiness,
             self._figures,
-            lambda endpoint: self._by_hand_now(endpoint, True),
-            lambda endpoint: self._by_hand_now(endpoint, False),
+            lambda endpoint: self._set_by_hand(endpoint, True),
+            lambda endpoint: self._set_by_hand(endpoint, False),
             lambda: self._drain(True),
             lambda: self._drain(False),
             self._audit.asked if self._audit else None,
         )
-        self._door = Door(loop, asked, room.callers) if config.ops else None
-        self._store, self._overflow = store, None  # documents beyond a window, where operators keep them
+        self._door = Door(loop, operator_calls, room.callers) if config.ops else None
+        self._store = store
+        self._overflow = None  # backlog of documents beyond a destination's window, where one is configured
         self.ended = loop.create_future()
 
     def clock(self) -> float:
         """Milliseconds since the start."""
-        return (self._loop.time() - self._began) * 1000.0
+        return (self._loop.time() - self._started_at) * 1000.0
 
     async def start(self) -> None:
-        """Takes up what is owed, then opens the door."""
+        """Recovers the documents of the ledger, then listens for clients."""
         self._machine.on_signals(self._loop, self.close, self.reload)
         if self._door:
             await self._door.open(self._machine, self._config.ops)
         if self._audit:
-            self._audit.begins(self._holds)
+            self._audit.begins(self._holds_lock)
             self._audit.settings(self._config, "start")
         self._watch.start(self._config.known)
         await self._watch.first()
-        self._take_up(self._ledger.owed)
+        self._recover(self._ledger.owed)
         self._turn()
         await self._front.open(self._machine, self._config.listen)
-        self._look_for_overdue()
-        self._loop.call_later(REPORT_S, self._report)
+        self._end_overdue()
+        self._loop.call_later(STATE_LOG_INTERVAL_S, self._log_state)
         if self._audit and self._audit.linked() is not None:
-            self._look_at_the_link()
+            self._check_signals()
         self._ready = True
-        self._loop.call_later(LOOK_S, self._look_at_the_folder)
+        self._loop.call_later(LOCK_CHECK_S, self._check_lock)
         say(
             log,
             "ready",
             name=self._config.name,
             owed=len(self._ledger.owed) + len(self._overflow or ()),
             endpoints=len(self._list.entries),
-            holds=self._holds,
+            holds=self._holds_lock,
         )
 
-    def _take_up(self, found: dict[str, Owed]) -> None:
-        """What the folder owes, found by id, goes to the decisions."""
-        now, wall = self.clock(), self._lasting.ms()
+    def _recover(self, found: dict[str, Owed]) -> None:
+        """Submits documents found in the folder, by id, to the decision logic; notices are sent again."""
+        now = self.clock()
+        wall = self._lasting.ms()
         self._remember({doc_id: (TAKEN, 0.0) for doc_id in (*self._ledger.ended, *found)})
         for owed in [*found.values()]:
             owed.due = now + owed.expiry - wall
             if owed.notice:
                 self._notices.tell(owed.id, *owed.notice)
                 continue
-            self._inbox.append((self._adopt, owed))
-        if self._store and self._holds and found is self._ledger.owed:
+            self._events.append((self._resubmit, owed))
+        if self._store and self._holds_lock and found is self._ledger.owed:
             self._overflow = Overflow(
                 self._store(self._folder, wall),
                 self._ledger,
                 self._core,
                 wall,
                 self._loop,
-                functools.partial(self._guarded, self._adopt),
-                self._soon,
+                functools.partial(self._guarded, self._resubmit),
+                self._schedule_turn,
             )
 
     def _recollection(self) -> Recollection:
-        """The folder is this process's now: what it tells of endpoints."""
+        """Reads what the folder, now held by this process, says about endpoints."""
         if not self._lasting.kept:
             self._ledger.begin_recoveries_anew(self._lasting.ms())
         return Recollection(self._ledger, self._by_hand)
 
     def _recall(self, listed: Iterable[our.Endpoint]) -> None:
-        """Goes to the decisions behind the list that names the endpoints, and before any document."""
+        """Reports known recoveries and waits of endpoints, after the list with them and before documents."""
         for recalled in self._recalled.of(self._lasting.ms(), listed):
             if recalled.recovery:
-                self._inbox.append((self._core.recover, recalled.recovery))
+                self._events.append((self._core.recover, recalled.recovery))
             if recalled.wait_ms > 0.0:
-                self._inbox.append((self._core.recall, recalled.endpoint, recalled.wait_ms))
+                self._events.append((self._core.recall, recalled.endpoint, recalled.wait_ms))
 
-    def _adopt(self, now: float, owed: Owed, tenant: str | None = None) -> None:
-        """What was taken on before goes to the decisions, with its past."""
+    def _resubmit(self, now: float, owed: Owed, tenant: str | None = None) -> None:
+        """Submits a document accepted earlier to the decision logic, with its past transmissions."""
         wall = self._lasting.ms()
         owed.due = now + owed.expiry - wall
         self._remember({owed.id: (TAKEN, 0.0)})
         if owed.type not in self._front.types:
-            self._owe_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
+            self._end_with_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
             return
         doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
         past = our.Past(owed.sent, owed.failed, doubt) if owed.found else our.NO_PAST
@@ -188,96 +198,102 @@
         given = our.Submission(owed.id, owed.destination, owed.type, left_ms, owed.key, past, tenant)
         self._core.document(now, given)
 
-    def _look_at_the_folder(self) -> None:
-        """Another process of this sender holds the folder: this one takes documents on and sends nothing.
+    def _check_lock(self) -> None:
+        """Takes the folder over once the process that holds it has ended; the holder adopts left files.
 
-        Guards against two processes that send one document, or keep two views of one endpoint's limits, while
-        one replaces the other (an upgrade), and covers a start beside a process that hangs. When the other
-        has ended, however it ended, the lock is free: its file and this one's are taken up as after a
-        restart, by decisions that start anew with the lists seen meanwhile. Where the one that waits ends
-        first, the one that holds takes its file up. May hurt: what comes meanwhile waits until then."""
+        While another process of this sender holds the folder, this one accepts documents and sends nothing.
+        Guards against two processes that send the same document, or track one endpoint's limits separately,
+        while one replaces the other (an upgrade), and covers a start beside a process that hangs. Once the
+        holder has ended, in whatever way, the lock is free: its file and this process's file are recovered as
+        after a restart, by new decision logic that first gets the lists received meanwhile. If the waiting
+        process ends first, the holder adopts its file. Cost: documents accepted meanwhile wait until then.
+        """
         if self._closing_at is not None:
             return
-        self._loop.call_later(LOOK_S * (LAX if self._holds else 1), self._look_at_the_folder)
-        if self._holds and (found := self._ledger.adopt()):
-            self._take_up({owed.id: owed for owed in found})
-            self._soon()
-        if self._holds or not self._folder.lock(LOCK):
+        self._loop.call_later(
+            LOCK_CHECK_S * (HOLDER_CHECK_FACTOR if self._holds_lock else 1), self._check_lock
+        )
+        if self._holds_lock and (found := self._ledger.adopt()):
+            self._recover({owed.id: owed for owed in found})
+            self._schedule_turn()
+        if self._holds_lock or not self._folder.lock(LOCK_NAME):
             return
-        self._turn()  # what came so far, under the file of the wait
+        self._turn()  # events so far belong in the ledger of the wait
         self._ledger.close()
         self._ledger = Ledger(self._folder, self._config.disk_bytes)
-        self._core, self._holds = Sender(self._config.settings, self._config.seed, self), True
-        self._linked = False  # the decisions begin anew
-        self._by_hand.read()  # the other may have been told more meanwhile
+        self._core = Sender(self._config.settings, self._config.seed, self)
+        self._holds_lock = True
+        self._signals_live = False  # the new decision logic has not been told yet
+        self._by_hand.read()  # operators may have called the other process meanwhile
         if self._audit:
             self._audit.begins(True)
-        for mode, listed in self._unheard:
-            told = [self._by_hand.as_told(entry) for entry in listed]
-            self._inbox.append((self._core.endpoints, mode, told))
-        self._unheard.clear()
+        for mode, listed in self._deferred_lists:
+            entries = [self._by_hand.as_told(entry) for entry in listed]
+            self._events.append((self._core.endpoints, mode, entries))
+        self._deferred_lists.clear()
         self._recalled = self._recollection()
         self._recall(self._list.entries.values())
-        self._take_up(self._ledger.owed)
+        self._recover(self._ledger.owed)
         say(log, "holds the folder", owed=len(self._ledger.owed))
-        self._soon()
+        self._schedule_turn()
 
-    # Events: gathered, and told in one turn
+    # Events: queued, and reported to the decision logic in one turn
 
-    def _happened(self, *event: object) -> None:
-        self._inbox.append(event)
-        self._soon()
+    def _enqueue(self, *event: object) -> None:
+        self._events.append(event)
+        self._schedule_turn()
 
-    def _soon(self) -> None:
+    def _schedule_turn(self) -> None:
         if not self._turn_due:
             self._turn_due = True
             self._loop.call_soon(self._turn)
 
-    def _handed(self, handed: Handed) -> None:
-        self._happened(self._take_on, handed)
+    def _on_document(self, handed: Handed) -> None:
+        self._enqueue(self._accept, handed)
 
-    def _told(self, told: dict, source: str) -> bool:
+    def _may_apply_list(self, told: dict, source: str) -> bool:
+        """Shows a list from discovery to the audit log; False if it must not be applied."""
         return self._audit is None or self._audit.told(told, source)
 
-    def _listed(self, mode: str, listed: list) -> None:
+    def _on_list(self, mode: str, listed: list) -> None:
         self._list.apply(mode, listed)
-        if self._holds:
-            self._happened(self._core.endpoints, mode, [self._by_hand.as_told(entry) for entry, _ in listed])
+        if self._holds_lock:
+            self._enqueue(self._core.endpoints, mode, [self._by_hand.as_told(entry) for entry, _ in listed])
             self._recall(entry for entry, _ in listed)
             return
-        if mode != our.CHANGES:  # the decisions will hear of them when this process sends
-            self._unheard.clear()
-        self._unheard.append((mode, [entry for entry, _ in listed]))
+        if mode != our.CHANGES:  # a whole list replaces what was deferred until this process sends
+            self._deferred_lists.clear()
+        self._deferred_lists.append((mode, [entry for entry, _ in listed]))
 
-    def _up(self, call: Call) -> None:
+    def _on_connected(self, call: Call) -> None:
         self._connected.append(call)
-        self._soon()
+        self._schedule_turn()
 
-    def _delivered(self, call: Call) -> None:
-        """The first line of an answer says so; the rest of it cannot change that."""
+    def _on_delivered(self, call: Call) -> None:
+        """Ends the document at the status line of a 200: the rest of the answer cannot change that."""
         owed = self._ledger.owed.get(call.doc)
-        if owed and holds(owed.notice is None, "a document has one end"):
+        if owed and holds(owed.notice is None, "a document ends exactly once"):
             self._tally.delivered(owed.type)
-            if self.clock() < owed.due - NEAR_MS:
+            if self.clock() < owed.due - EXPIRY_MARGIN_MS:
                 self._ledger.done(owed)
-            else:  # where it counts, its time may be up: it ends by a notice
-                self._ledger.notice(owed, "dead", 0.0)  # too, which does no harm if it is over
+            else:  # the platform may count it as expired: it also gets a notice,
+                self._ledger.notice(owed, "dead", 0.0)  # which does no harm to a document that is delivered
                 self._notices.tell(owed.id, "dead", 0.0)
 
-    def _ended(self, call: Call, outcome: our.Outcome) -> None:
+    def _on_call_end(self, call: Call, outcome: our.Outcome) -> None:
         if outcome.wait_ms > 0.0:
             self._ledger.told(call.endpoint, self._lasting.ms() + outcome.wait_ms)
         owed = self._ledger.owed.get(call.doc)
-        if owed and owed.notice is None:  # else it is kept until the platform knows
+        if owed and owed.notice is None:  # with a notice it stays until the platform has acknowledged that
             if outcome.over:
                 self._ledger.done(owed)
             else:
                 failed = outcome.kind not in (our.FULL, our.UNSENT)
                 self._ledger.back(owed, outcome.kind not in NEVER_RAN, failed)
         self._ledger.freed(call.destination)
-        self._happened(self._core.outcome, call.doc, call.endpoint, outcome)
+        self._enqueue(self._core.outcome, call.doc, call.endpoint, outcome)
 
-    def _acknowledged(self, ids: list[str]) -> None:
+    def _on_acknowledged(self, ids: list[str]) -> None:
         for doc_id in ids:
             owed = self._ledger.owed.get(doc_id)
             if owed:
@@ -287,67 +303,72 @@
 
     def _turn(self) -> None:
         self._turn_due = False
-        events, self._inbox = self._inbox, []
+        events, self._events = self._events, []
         now = self.clock()
-        for tell, *words in events:
-            if tell == self._take_on:
-                self._take_on(now, *words)
+        for handler, *arguments in events:
+            if handler == self._accept:
+                self._accept(now, *arguments)
             else:
-                self._guarded(tell, now, *words)
+                self._guarded(handler, now, *arguments)
         if self._overflow and self._closing_at is None:
             self._overflow.turn(now, self._lasting.ms())
-        if self._calling():
+        if self._may_call():
             self._guarded(self._core.turn, now)
-            self._turned_at = now
-        self._settle(now)
-
-    def _calling(self) -> bool:
-        """False once this process makes no more calls: towards its end, or when it hands over."""
-        return self._closing_at is None or not self._handing and self._loop.time() < self._closing_at + CALL_S
+            self._last_turn_at = now
+        self._commit(now)
+
+    def _may_call(self) -> bool:
+        """False once this process makes no more calls: late in its shutdown, or when it hands over."""
+        return (
+            self._closing_at is None
+            or not self._handing_over
+            and self._loop.time() < self._closing_at + START_CALLS_S
+        )
 
-    def _guarded(self, tell, *words: object) -> bool:
+    def _guarded(self, handler, *arguments: object) -> bool:
+        """Calls the decision logic; an exception there must not stop other documents. False if it raised."""
         try:
-            tell(*words)
-        except Exception:  # a fault of the decisions must not end what else is owed
+            handler(*arguments)
+        except Exception:
             log.exception("a fault of the decisions")
-            return holds(False, "the decisions do not fail")
+            return holds(False, "the decision logic raises no exception")
         return True
 
-    def _look_for_overdue(self) -> None:
-        """The last resort: a document that the decisions let pass its expiry is ended all the same."""
+    def _end_overdue(self) -> None:
+        """Safety net: ends documents that the decision logic left unended past their expiry."""
         late = self.clock() - OVERDUE_MS
         overdue = [each for each in self._ledger.owed.values() if each.due < late and not each.notice]
         if overdue:
-            self._soon()  # after a stall the decisions have their turn first
-        for owed in [each for each in overdue if each.due < self._turned_at - OVERDUE_MS]:
+            self._schedule_turn()  # after a stall of the process the decision logic gets its turn first
+        for owed in [each for each in overdue if each.due < self._last_turn_at - OVERDUE_MS]:
             holds(owed.out is None, "no transmission lasts beyond the expiry")
-            self._owe_notice(owed.id, "dead", 0.0)
-            self._happened(self._core.withdrawn, owed.id)
+            self._end_with_notice(owed.id, "dead", 0.0)
+            self._enqueue(self._core.withdrawn, owed.id)
             holds(False, "a document ends before its expiry")
-        self._loop.call_later(OVERDUE_MS / 2000.0, self._look_for_overdue)
+        self._loop.call_later(OVERDUE_MS / 2000.0, self._end_overdue)
 
-    def _take_on(self, now: float, handed: Handed) -> None:
-        """Before the turn: what needs no decision is answered, the rest is put to the decisions."""
+    def _accept(self, now: float, handed: Handed) -> None:
+        """Answers a submission that needs no decision, or submits the document to the decision logic."""
         age, gone = handed.told()
         advice_ms = self._config.settings.retry_after_ms
         if gone:
-            handed.reply(CLOSED)  # nobody hears it, and nothing was taken on
-        elif handed.id in self._fresh:
-            self._fresh[handed.id].again.append(handed)
+            handed.reply(CLOSED)  # the client does not read it, and the document was not accepted
+        elif handed.id in self._pending:
+            self._pending[handed.id].again.append(handed)
         elif handed.id in self._answers or self._overflow and self._overflow.holds(handed.id):
             handed.reply(*self._answers.get(handed.id, (TAKEN, 0.0)))
-        elif self._closing_at is not None and not self._handing:
+        elif self._closing_at is not None and not self._handing_over:
             self._answer(handed, CLOSED, advice_ms)
         elif self._overflow and (verdict := self._overflow.takes(now, handed, age, advice_ms)):
             if verdict[0] != TAKEN:
                 self._answer(handed, *verdict)
             else:
-                self._fresh[handed.id] = handed
-        elif not self._ledger.fits([len(handed.body), *(len(each.body) for each in self._fresh.values())]):
+                self._pending[handed.id] = handed
+        elif not self._ledger.fits([len(handed.body), *(len(each.body) for each in self._pending.values())]):
             self._answer(handed, CLOSED, advice_ms)
         else:
             handed.left_ms -= age
-            self._fresh[handed.id] = handed
+            self._pending[handed.id] = handed
             given = our.Submission(
                 handed.id,
                 handed.destination,
@@ -356,7 +377,7 @@
                 handed.key,
                 tenant=handed.tenant,
             )
-            if not self._guarded(self._core.document, now, given) and self._fresh.pop(handed.id, None):
+            if not self._guarded(self._core.document, now, given) and self._pending.pop(handed.id, None):
                 self._guarded(self._core.withdrawn, now, handed.id)
                 self._answer(handed, CLOSED, advice_ms)
 
@@ -368,14 +389,14 @@
 
     def _remember(self, answers: dict[str, tuple[str, float]]) -> None:
         self._answers.update(answers)
-        while len(self._answers) > REMEMBERED:
+        while len(self._answers) > MAX_REMEMBERED_ANSWERS:
             del self._answers[next(iter(self._answers))]
 
-    def _settle(self, now: float) -> None:
-        """After the turn: the ledger, then the answers, then the calls."""
-        fresh, self._fresh = self._fresh, {}
-        wall = self._lasting.ms() + now - self.clock()  # when the turn began: it may have been long
-        for handed in fresh.values():
+    def _commit(self, now: float) -> None:
+        """Carries out a turn's decisions: writes the ledger, then answers clients, then makes the calls."""
+        pending, self._pending = self._pending, {}
+        wall = self._lasting.ms() + now - self.clock()  # at the start of the turn, which may have been long
+        for handed in pending.values():
             try:
                 if self._overflow and self._overflow.record(handed, wall):
                     self._answer(handed, TAKEN)
@@ -391,8 +412,8 @@
                 )
             except OSError as problem:
                 say(log, "not taken on", logging.ERROR, problem=problem)
-                self._happened(self._core.withdrawn, handed.id)
-                self._unsent(self._starting.pop(handed.id, None))
+                self._enqueue(self._core.withdrawn, handed.id)
+                self._cancel_call(self._starting.pop(handed.id, None))
                 self._answer(handed, CLOSED, self._config.settings.retry_after_ms)
             else:
                 owed.due = now + handed.left_ms
@@ -403,30 +424,33 @@
             owed = self._ledger.owed.get(call.doc)
             if not holds(
                 owed and owed.notice is None and call.endpoint in self._calls.addresses,
-                "only what is owed is sent, and only to what is listed",
+                "only documents that are held are sent, and only to listed endpoints",
             ):
-                self._unsent(call)
+                self._cancel_call(call)
                 continue
-            call.body, call.repeat_key = owed.body, owed.repeat_key
+            call.body = owed.body
+            call.repeat_key = owed.repeat_key
             leaving.append(call)
         refused, failed = self._tally.take_turn()
         if self._audit and (leaving or refused or failed):
             self._audit.turn([(call.doc, call.endpoint) for call in leaving], refused, failed)
         connected, self._connected = self._connected, []
         for call in [*connected, *(each for each in leaving if self._calls.begin(each))]:
-            self._calls.go(call, self._leaves(self.clock(), call))
+            self._calls.go(call, self._may_write(self.clock(), call))
 
-    def _leaves(self, now: float, call: Call) -> bool:
-        """The moment a call takes effect is its writing: what holds then counts, and is in the ledger first.
+    def _may_write(self, now: float, call: Call) -> bool:
+        """Checks a call again just before it is written, and records it in the ledger first.
 
-        Guards against a connection that comes up late: meanwhile a wait may have been told, the endpoint been
-        drained, gone or moved, the document ended, or this process told to end. May hurt: the connection is
-        closed, and the next call there dials again."""
+        A call takes effect when it is written, so the state at that moment counts. Guards against a
+        connection that is established late: meanwhile the endpoint may have told a wait, been drained,
+        removed or moved, the document may have ended, or this process may have been told to stop. Cost: the
+        connection is closed, and the next call to the endpoint dials again.
+        """
         owed = self._ledger.owed.get(call.doc)
         if not (
             owed
             and owed.notice is None
-            and self._calling()
+            and self._may_call()
             and self._calls.waiting(call)
             and self._core.stands(now, call.doc)
         ):
@@ -439,12 +463,12 @@
         call.patience_ms = min(call.patience_ms, owed.due - now)
         return True
 
-    def _unsent(self, call: Call | None) -> None:
+    def _cancel_call(self, call: Call | None) -> None:
         if call:
-            self._ended(call, our.Outcome(our.UNSENT, call.number, 0.0, False))
+            self._on_call_end(call, our.Outcome(our.UNSENT, call.number, 0.0, False))
 
-    def _report(self) -> None:
-        """A line now and then for who looks after it."""
+    def _log_state(self) -> None:
+        """Logs the sender's state at regular intervals, for operators."""
         say(
             log,
             "state",
@@ -455,33 +479,37 @@
             broken=dict(broken),
             untried=dict(self._tally.untried),
         )
-        self._loop.call_later(REPORT_S, self._report)
+        self._loop.call_later(STATE_LOG_INTERVAL_S, self._log_state)
 
-    # What the decisions ask for
+    # Requests of the decision logic (interface.Host)
 
     def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
+        """Starts a call at the end of this turn."""
         owed = self._ledger.owed.get(doc_id)
         number, where = (owed.sent, owed.destination) if owed else (0, -1)
         self._starting[doc_id] = Call(doc_id, number, endpoint, b"", patience_ms, destination=where)
 
     def reject(self, doc_id: str, retry_after_ms: float) -> None:
-        if doc_id in self._fresh:
-            self._answer(self._fresh.pop(doc_id), REJECTED, retry_after_ms)
+        """Rejects a document: in the answer to its client, or by a notice once that was accepted."""
+        if doc_id in self._pending:
+            self._answer(self._pending.pop(doc_id), REJECTED, retry_after_ms)
         else:
-            self._owe_notice(doc_id, "bounced", retry_after_ms)
+            self._end_with_notice(doc_id, "bounced", retry_after_ms)
 
     def abandon(self, doc_id: str) -> None:
-        if doc_id in self._fresh:
-            self._answer(self._fresh.pop(doc_id), ABANDONED)
+        """Abandons a document: in the answer to its client, or by a notice once that was accepted."""
+        if doc_id in self._pending:
+            self._answer(self._pending.pop(doc_id), ABANDONED)
         else:
-            self._owe_notice(doc_id, "dead", 0.0)
+            self._end_with_notice(doc_id, "dead", 0.0)
 
-    def _owe_notice(self, doc_id: str, result: str, wait_ms: float, why: str = "") -> None:
+    def _end_with_notice(self, doc_id: str, result: str, wait_ms: float, why: str = "") -> None:
+        """Ends an accepted document undelivered; why: the reason to log if it was never transmitted."""
         owed = self._ledger.owed.get(doc_id)
-        if holds(owed and owed.notice is None, "a document has one end"):
-            if owed.found and not owed.sent:  # a restart found it, and nothing tried it
+        if holds(owed and owed.notice is None, "a document ends exactly once"):
+            if owed.found and not owed.sent:  # found at a restart and never transmitted
                 why = why or (
-                    "its time, or a told wait"
+                    "it expired, or its endpoints told to wait"
                     if self._list.ready(owed.destination)
                     else "no endpoint is ready"
                 )
@@ -492,65 +520,69 @@
             self._notices.tell(doc_id, result, wait_ms)
 
     def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to an endpoint."""
         self._calls.close_idle(endpoint)
 
     def wake(self, after_ms: float) -> None:
-        """The decisions ask for their next alarm only; one that was set for later is no longer wanted."""
+        """Schedules a turn; a turn scheduled for later is cancelled, as only the next one is asked for."""
         now = self._loop.time()
         when = now + after_ms / 1000.0
         if self._alarm and now < self._alarm.when() <= when:
             return
         if self._alarm:
             self._alarm.cancel()
-        self._alarm = self._loop.call_at(when, self._soon)
+        self._alarm = self._loop.call_at(when, self._schedule_turn)
 
     def subscribe(self) -> None:
-        """The watch is always kept, and asked for again by itself."""
+        """Does nothing: the watch is always open, and reopens by itself."""
 
     def tell(self, note: str) -> None:
-        """Never asked for: the configuration refuses notes, which have no way to other senders here."""
+        """Does nothing: the configuration refuses notes, which this sender cannot pass to others."""
 
     def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
+        """Passes an observation of an endpoint on to the other senders."""
         self._audit.observed(endpoint, kind, wait_ms)
 
     def remember(self, recovery: our.Recovery) -> None:
+        """Records an endpoint's recovery for the process after this one."""
         self._ledger.remember(self._lasting.ms(), recovery)
 
     def log(self, text: str) -> None:
+        """Logs a line of the decision logic."""
         say(log, text)
 
     # Signals of other senders
 
-    def _reported(self, reports: list[our.Report]) -> None:
-        if not self._holds:  # another process decides
+    def _on_signals(self, reports: list[our.Report]) -> None:
+        if not self._holds_lock:  # another process decides
             return
-        self._link()
+        self._update_signals()
         for report in reports:
-            if report.wait_ms > 0.0:  # kept over a restart, as one that was told here
+            if report.wait_ms > 0.0:  # kept over a restart like a wait that this sender was told
                 self._ledger.told(report.endpoint, self._lasting.ms() + report.wait_ms)
-            self._happened(self._core.reported, report)
+            self._enqueue(self._core.reported, report)
 
-    def _look_at_the_link(self) -> None:
-        self._link()
-        self._loop.call_later(LINK_S, self._look_at_the_link)
+    def _check_signals(self) -> None:
+        self._update_signals()
+        self._loop.call_later(SIGNAL_CHECK_S, self._check_signals)
 
-    def _link(self) -> None:
-        """Tells the decisions when signals begin to come, and when they come no more."""
+    def _update_signals(self) -> None:
+        """Tells the decision logic when signals of other senders begin or cease to arrive."""
         live = bool(self._audit.linked())
-        if live != self._linked and self._holds:
-            self._linked = live
+        if live != self._signals_live and self._holds_lock:
+            self._signals_live = live
             say(log, "signals of other senders come" if live else "no signals of other senders come")
-            self._happened(self._core.linked, live)
+            self._enqueue(self._core.linked, live)
 
-    # What operators ask: carried out here, and only reported
+    # Calls of operators
 
-    def _ready_now(self) -> Answer:
+    def _readiness(self) -> Answer:
         if self._closing_at is not None:
             return Answer(False, "closing", 503)
         return Answer(True, "ready") if self._ready else Answer(False, "starting", 503)
 
     def _status(self) -> SenderStatus:
-        return SenderStatus(self._ready_now().yes, len(self._ledger.owed), self._watch.silent_ms())
+        return SenderStatus(self._readiness().yes, len(self._ledger.owed), self._watch.silent_ms())
 
     def _figures(self) -> Figures:
         out = self._by_hand.out
@@ -568,26 +600,30 @@
             self._audit.figures() if self._audit else [],
         )
 
-    def _by_hand_now(self, endpoint: str, out: bool) -> Answer:
+    def _set_by_hand(self, endpoint: str, out: bool) -> Answer:
+        """Disables or enables an endpoint by hand."""
         entry = self._list.entries.get(endpoint)
         answer = self._by_hand.set(endpoint, out, entry is not None)
-        if answer.yes and entry and self._holds:
-            self._happened(self._core.endpoints, our.CHANGES, [self._by_hand.as_told(entry)])
+        if answer.yes and entry and self._holds_lock:
+            self._enqueue(self._core.endpoints, our.CHANGES, [self._by_hand.as_told(entry)])
         return answer
 
     def _drain(self, drained: bool) -> Answer:
-        """Clients are sent away, and what is held is still sent; the sender stays."""
+        """Sends clients away, or serves them again; held documents are still sent, and the process stays."""
         self._front.drain(drained)
         return Answer(True, "drained" if drained else "serving")
 
-    # A new configuration, and the end
+    # Reload and shutdown
 
     def reload(self) -> None:
-        """SIGHUP: takes over the settings and where discovery is now, or nothing. Documents held, calls out,
-        ids, connections and what was told and learnt stay; what shrinks holds for what comes next."""
+        """Handles SIGHUP: applies the settings and discovery's address of the file, or nothing at all.
+
+        Held documents, calls in flight, document ids, connections and what was learnt of endpoints stay;
+        lower limits apply to what comes next.
+        """
         try:
             fresh = fitted(load(again=True), self._machine.descriptors())
-            self._turn()  # what came before is taken on under the old settings
+            self._turn()  # submissions so far are accepted under the old settings
             held = {owed.type for owed in self._ledger.owed.values() if owed.notice is None}
             fits(fresh, self._config, held, self._list.last_kind())
         except ConfigError as problem:
@@ -597,11 +633,12 @@
         self._reloads[0] += 1
         self._config, changed, waits = take_over(fresh, self._config)
         self._front.types = {kind.name: kind.expiry_ms for kind in fresh.settings.types}
-        self._calls.idle_ms, self._calls.dial_ms = fresh.idle_ms, fresh.dial_ms
+        self._calls.idle_ms = fresh.idle_ms
+        self._calls.dial_ms = fresh.dial_ms
         if self._audit:
             self._audit.settings(self._config, "reload")
         if changed:
-            self._happened(self._core.adopt, fresh.settings)
+            self._enqueue(self._core.adopt, fresh.settings)
         self._watch.move(fresh.discovery, fresh.kinds)
         self._notices.move(fresh.discovery)
         say(
@@ -613,27 +650,37 @@
         )
 
     def close(self) -> None:
-        """SIGTERM: takes no more, answers what comes, finishes what it can, leaves the rest in the ledger."""
+        """Handles SIGTERM: accepts no more, finishes what it can and leaves the rest in the ledger."""
         if self._closing_at is not None:
             return
         self._closing_at = self._loop.time()
-        self._handing = self._holds and self._ledger.awaited()
-        say(log, "closing", owed=len(self._ledger.owed), out=len(self._calls), handing=self._handing)
+        self._handing_over = self._holds_lock and self._ledger.awaited()
+        say(
+            log,
+            "closing",
+            owed=len(self._ledger.owed),
+            out=len(self._calls),
+            handing=self._handing_over,
+        )
         self._front.close()
-        self._loop.call_later(0.0 if self._handing else LISTEN_S, self._front.shut)
-        self._loop.call_later(0.0 if self._handing else LISTEN_S, self._maybe_over)
+        self._loop.call_later(0.0 if self._handing_over else ACCEPT_CLIENTS_S, self._front.shut)
+        self._loop.call_later(0.0 if self._handing_over else ACCEPT_CLIENTS_S, self._check_closed)
+
+    def _check_closed(self) -> None:
+        """Ends the process once nothing is in flight, or its time for shutdown is over.
 
-    def _maybe_over(self) -> None:
-        """Another process gets what is held at once: only calls out and clients are waited for."""
-        past = self._loop.time() - self._closing_at
-        if self._handing or not self._holds:
+        At a handover the other process gets the held documents at once: only calls in flight and clients are
+        waited for.
+        """
+        elapsed_s = self._loop.time() - self._closing_at
+        if self._handing_over or not self._holds_lock:
             busy = len(self._calls) or len(self._front)
         else:
             busy = self._front.busy() or (
-                self._ledger.owed if past < CALL_S else len(self._calls) or len(self._notices)
+                self._ledger.owed if elapsed_s < START_CALLS_S else len(self._calls) or len(self._notices)
             )
-        if busy and past < END_S:
-            self._loop.call_later(0.05, self._maybe_over)
+        if busy and elapsed_s < FINISH_CALLS_S:
+            self._loop.call_later(0.05, self._check_closed)
             return
         say(
             log,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -74,14 +74,14 @@
 
 @mutant("202 is written before the ledger holds the document")
 def _(patch):
-    old = sender.Node._settle
+    old = sender.Node._commit
 
     def settle(self, now):
-        for handed in self._fresh.values():
+        for handed in self._pending.values():
             handed.reply(front.TAKEN)
         old(self, now)
 
-    patch.set(sender.Node, "_settle", settle)
+    patch.set(sender.Node, "_commit", settle)
 
 
 @mutant("a told wait is ignored")
@@ -151,7 +151,7 @@
         old(self, now, dataclasses.replace(given, left_ms=given.left_ms * 3.0))
 
     patch.set(decide.Sender, "document", document)
-    patch.set(sender.Node, "_look_for_overdue", never)
+    patch.set(sender.Node, "_end_overdue", never)
 
 
 @mutant("bodies lose their last byte")
@@ -311,8 +311,8 @@
 
 @mutant("SIGTERM waits for everything that is owed", DAY, ("sigterm", "silent"))
 def _(patch):
-    patch.set(sender, "CALL_S", 8.0)
-    patch.set(sender, "END_S", 9.0)
+    patch.set(sender, "START_CALLS_S", 8.0)
+    patch.set(sender, "FINISH_CALLS_S", 9.0)
 
 
 @mutant("one outcome in three hundred ends in an exception")
@@ -330,13 +330,13 @@
 
 @mutant("an end is told twice, and differently")
 def _(patch):
-    old = sender.Node._owe_notice
+    old = sender.Node._end_with_notice
 
     def owe(self, doc_id, result, wait_ms):
         old(self, doc_id, result, wait_ms)
         self._loop.call_later(1.0, self._notices.tell, doc_id, "dead", 0.0)
 
-    patch.set(sender.Node, "_owe_notice", owe)
+    patch.set(sender.Node, "_end_with_notice", owe)
 
 
 @mutant("bad clients are left alone")
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -45,8 +45,8 @@
     def since(self, moment):
         return 0.0
 
-    def count_spoilt(self, endpoint, problem):
-        self.spoilt = problem
+    def count_malformed(self, endpoint, problem):
+        self.malformed = problem
 
     def delivered(self, call):
         self.ok.append(call.doc)
@@ -54,7 +54,7 @@
     def ended(self, line, call, keep, how):
         self.ends.append((how[0], keep))
 
-    def drop(self, line):
+    def discard(self, line):
         self.dropped.append(line)
 
 
@@ -130,7 +130,7 @@
     line._call.patience_ms = 9000.0
     line.received(memoryview(text))
     assert desk.timers[-1] <= 500.0 and not desk.ends
-    line._spoilt("not whole in time")
+    line._malformed("not whole in time")
     assert desk.ends == [(ends, False)]
 
 
@@ -156,7 +156,7 @@
     desk = Desk()
     line = line_with(Link(), desk)
     line.received(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-    line.rests()
+    line.start_idle()
     assert desk.timers[-1] < desk.idle_ms
     line.received(memoryview(b"HTTP/1.1 408 Late\r\n"))
     assert desk.dropped == [line] and len(desk.ends) == 1
--- a/tests/test_capacity_sender.py
+++ b/tests/test_capacity_sender.py
@@ -51,15 +51,15 @@
         "decisions: no room": {ROOM: 1},
         "node: a document": {HOPELESS: 1},
         "node: a list change": {HOPELESS: 1},
-        "node: a look for the overdue": {"net/sender.py Node._look_for_overdue": 1},
+        "node: a look for the overdue": {"net/sender.py Node._end_overdue": 1},
         "node: an end untried": {},
         "node: its figures": {"net/sender.py Node._figures": 1},
     },
     "handed together": {
         "node: documents": {
-            "net/sender.py Node._take_on": 2,
+            "net/sender.py Node._accept": 2,
             "net/sender.py Node._turn": 1,
-            "net/sender.py Node._settle": 1,
+            "net/sender.py Node._commit": 1,
             HOPELESS: 1,
         }
     },
@@ -70,7 +70,7 @@
             "net/discovery.py Watch.received": 2,
             "net/discovery.py entries": 1,
             "net/listed.py Listed.apply": 1,
-            "net/sender.py Node._listed": 1,
+            "net/sender.py Node._on_list": 1,
         }
     },
 }
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -379,5 +379,5 @@
             assert await world.until(lambda: '["done","d1"' in world.on_disk())
             assert world.notices == notices and len(world.calls) == 1 and not world.node._ledger.owed
 
-    monkeypatch.setattr(sender, "NEAR_MS", near_ms)
+    monkeypatch.setattr(sender, "EXPIRY_MARGIN_MS", near_ms)
     asyncio.run(whole())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -53,9 +53,9 @@
 def test_a_second_front_is_answered_in_the_projects_words(node):
     async def story():
         handed, gone = Handed(), Handed("e", gone=True)
-        node._inbox += [(node._take_on, handed), (node._take_on, gone)]
+        node._events += [(node._accept, handed), (node._accept, gone)]
         node._turn()
-        node._report()
+        node._log_state()
         assert handed.said == [(TAKEN, 0.0)] and gone.said == [(CLOSED, 0.0)]
         assert [*node._ledger.owed] == ["d"] and handed.left_ms == 4960.0
 
@@ -66,7 +66,7 @@
     async def story():
         node._core.document = fault
         handed = Handed()
-        node._inbox.append((node._take_on, handed))
+        node._events.append((node._accept, handed))
         node._turn()
         assert handed.said == [(CLOSED, 3000.0)] and not node._ledger.owed and node.broken
 
@@ -75,14 +75,14 @@
 
 def test_a_document_that_the_decisions_let_pass_its_expiry_is_abandoned(node):
     async def story():
-        node._inbox.append((node._take_on, Handed(left_ms=300.0)))
+        node._events.append((node._accept, Handed(left_ms=300.0)))
         node._turn()
         node._core.turn = fault
         time.sleep(0.5)  # the process stands still
-        node._look_for_overdue()
+        node._end_overdue()
         assert node._ledger.owed["d"].notice is None  # the decisions have had no turn since
         node._turn()
-        node._look_for_overdue()
+        node._end_overdue()
         assert node._ledger.owed["d"].notice == ("dead", 0.0) and node.broken
 
     node.run(story)
@@ -92,7 +92,7 @@
     async def story():
         monkeypatch.setattr(node._ledger, "take", lambda *words: (_ for _ in ()).throw(OSError("full")))
         handed = Handed()
-        node._inbox.append((node._take_on, handed))
+        node._events.append((node._accept, handed))
         node._turn()
         node._turn()
         assert handed.said == [(CLOSED, 3000.0)] and not node._core._held and not len(node._calls)
@@ -110,8 +110,8 @@
     async def story():
         for number in range(6000):
             if mode == our.CHANGES and number:
-                node._listed(mode, [listed(f"e{number - 1}", our.GONE, 9, number - 1)])
-            node._listed(mode, [listed(f"e{number}", our.READY, 9, number)])
+                node._on_list(mode, [listed(f"e{number - 1}", our.GONE, 9, number - 1)])
+            node._on_list(mode, [listed(f"e{number}", our.READY, 9, number)])
             node._turn()
         assert [*node._calls.addresses] == [*node._list.entries] == [*node._core._endpoints] == ["e5999"]
         assert len(node._list._destinations) <= 4096 and len(node._core._destinations) < 100
@@ -124,14 +124,14 @@
     async def story():
         for number in range(5000):
             handed = Handed(f"d{number}", left_ms=40.0 if number % 2 else 20000.0)
-            node._inbox.append((node._take_on, handed))
+            node._events.append((node._accept, handed))
             node._turn()
-            node._happened(node._core.withdrawn, handed.id)
+            node._enqueue(node._core.withdrawn, handed.id)
             if handed.id in node._ledger.owed:
                 node._ledger.done(node._ledger.owed[handed.id])
         node._turn()
         assert len(node._answers) <= 4096 and not node._ledger.owed and not node._core._held
-        assert len(node._core._ends) < 5000 and not node._fresh and not node._starting
+        assert len(node._core._ends) < 5000 and not node._pending and not node._starting
 
     node.run(story)
 
@@ -158,8 +158,8 @@
         node._ledger.call(owed, "a", wall - 700.0)  # out when its process ended
         node._ledger.close()
         node._ledger = Ledger(node._folder, 3_000_000)
-        node._listed(our.WHOLE, [listed("e1", our.READY, 9)])
-        node._take_up(node._ledger.owed)
+        node._on_list(our.WHOLE, [listed("e1", our.READY, 9)])
+        node._recover(node._ledger.owed)
         turn, gone = node._core.turn, []
         node._core.turn = lambda now: (turn(now), time.sleep(0.4))  # many documents, little processor
         node._calls.begin = node._calls.waiting = lambda call: True
@@ -185,7 +185,7 @@
             steady += 400.0
 
         node._core.turn = long_turn
-        node._inbox.append((node._take_on, Handed(left_ms=5040.0)))
+        node._events.append((node._accept, Handed(left_ms=5040.0)))
         node._turn()
         assert steady == 5_000_400.0
         assert node._ledger.owed["d"].expiry == pytest.approx(began + 5000.0, rel=0.0, abs=0.001)
