--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, with a link and a clock that are stand-ins."""
+"""One connection to an endpoint, with a fake link and a fake clock."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class Link:
-    """unsent: whether bytes still wait to be handed to the network."""
+    """unsent: whether written bytes still wait to be taken by the kernel."""
 
     def __init__(self, unsent=False, gone=False):
         self.unsent, self.closed, self.gone, self.written, self.waiting = unsent, False, gone, b"", 0
@@ -30,8 +30,8 @@
         pass
 
 
-class Desk:
-    """What a line asks of the calls it belongs to."""
+class FakeCalls:
+    """What a connection uses of calls.Calls."""
 
     dial_ms, idle_ms, loop, transmitted = 200.0, 1000.0, None, 0
 
@@ -58,8 +58,8 @@
         self.dropped.append(line)
 
 
-def line_with(link, desk):
-    line = Line(desk, "s-1", ("127.0.0.1", 1))
+def connection_with(link, calls):
+    line = Line(calls, "s-1", ("127.0.0.1", 1))
     line.opened(link)
     line.begin(Call("d", 0, "s-1", b"body", 500.0))
     line.write()
@@ -67,17 +67,17 @@
 
 
 @pytest.mark.parametrize("unsent, kind", [(True, "connect_failed"), (False, "reset")])
-def test_broken_before_or_after_the_last_byte_was_written(unsent, kind):
-    desk = Desk()
-    line_with(Link(unsent), desk).lost()
-    assert desk.ends == [(kind, False)]
+def test_a_connection_lost_before_or_after_the_last_byte_was_sent(unsent, kind):
+    calls = FakeCalls()
+    connection_with(Link(unsent), calls).lost()
+    assert calls.ends == [(kind, False)]
 
 
 @pytest.mark.parametrize("unsent, kind", [(True, "connect_failed"), (False, "timeout")])
-def test_patience_over_before_or_after_the_last_byte_was_written(unsent, kind):
-    desk = Desk()
-    line_with(Link(unsent), desk)._timed_out()
-    assert desk.ends == [(kind, False)]
+def test_a_time_out_before_or_after_the_last_byte_was_sent(unsent, kind):
+    calls = FakeCalls()
+    connection_with(Link(unsent), calls)._timed_out()
+    assert calls.ends == [(kind, False)]
 
 
 @pytest.mark.parametrize(
@@ -91,12 +91,12 @@
         (b"HTTP/1.1 503 No\r\n\r\nto the end", ("full", False), []),
     ],
 )
-def test_an_answer_that_breaks_off(text, ends, ok):
-    desk = Desk()
-    line = line_with(Link(), desk)
+def test_an_answer_cut_off_by_the_end_of_the_connection(text, ends, ok):
+    calls = FakeCalls()
+    line = connection_with(Link(), calls)
     line.received(memoryview(text))
     line.lost()
-    assert desk.ends == [ends] and desk.ok == ok
+    assert calls.ends == [ends] and calls.ok == ok
 
 
 @pytest.mark.parametrize(
@@ -114,24 +114,24 @@
         (b"HTTP/1.1 100 On\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "ok", ["d"]),
     ],
 )
-def test_a_spoilt_answer_may_have_run_unless_its_first_line_says_200_and_its_connection_ends(text, ends, ok):
-    desk = Desk()
-    line_with(Link(), desk).received(memoryview(text))
-    assert desk.ends == [(ends, False)] and desk.ok == ok
+def test_a_malformed_answer_is_an_error_unless_its_status_is_200_and_closes_the_connection(text, ends, ok):
+    calls = FakeCalls()
+    connection_with(Link(), calls).received(memoryview(text))
+    assert calls.ends == [(ends, False)] and calls.ok == ok
 
 
 @pytest.mark.parametrize(
     "text, ends",
     [(b"HTTP/1.1 200 OK\r\nContent-Le", "ok"), (b"HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nab", "error")],
 )
-def test_an_answer_that_began_and_is_not_whole_in_time_is_spoilt_long_before_patience_is_over(text, ends):
-    desk = Desk()
-    line = line_with(Link(), desk)
+def test_an_answer_incomplete_long_after_its_status_line_is_malformed_before_the_time_out(text, ends):
+    calls = FakeCalls()
+    line = connection_with(Link(), calls)
     line._call.patience_ms = 9000.0
     line.received(memoryview(text))
-    assert desk.timers[-1] <= 500.0 and not desk.ends
+    assert calls.timers[-1] <= 500.0 and not calls.ends
     line._malformed("not whole in time")
-    assert desk.ends == [(ends, False)]
+    assert calls.ends == [(ends, False)]
 
 
 @pytest.mark.parametrize(
@@ -139,31 +139,31 @@
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", True),
         (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", True),
-        (b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", False),  # the decisions count it as gone
+        (b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", False),  # the decision logic counts it as closed
         (b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", False),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 2", False),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n\x90noise\r\n\r\n", False),
     ],
 )
-def test_a_connection_is_kept_only_if_it_can_be_used_and_is_counted_on(text, keep):
-    desk = Desk()
-    line = line_with(Link(), desk)
+def test_a_connection_is_kept_only_if_it_can_be_reused_and_the_outcome_allows_it(text, keep):
+    calls = FakeCalls()
+    line = connection_with(Link(), calls)
     line.received(memoryview(text))
-    assert len(desk.ends) == 1 and desk.ends[0][1] is keep
+    assert len(calls.ends) == 1 and calls.ends[0][1] is keep
 
 
-def test_an_idle_connection_rests_for_less_than_the_endpoints_own_time_and_is_dropped_at_its_end():
-    desk = Desk()
-    line = line_with(Link(), desk)
+def test_an_idle_connection_is_closed_before_the_endpoints_idle_time_out():
+    calls = FakeCalls()
+    line = connection_with(Link(), calls)
     line.received(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
     line.start_idle()
-    assert desk.timers[-1] < desk.idle_ms
+    assert calls.timers[-1] < calls.idle_ms
     line.received(memoryview(b"HTTP/1.1 408 Late\r\n"))
-    assert desk.dropped == [line] and len(desk.ends) == 1
+    assert calls.dropped == [line] and len(calls.ends) == 1
 
 
 @pytest.mark.parametrize("gone, waiting", [(False, 0), (True, 0), (False, 7)])
-def test_a_connection_that_ended_or_said_more_is_known_as_stale_before_that_is_read(gone, waiting):
+def test_a_connection_with_an_unread_end_or_unread_bytes_is_stale(gone, waiting):
     link = Link(gone=gone)
     link.waiting = waiting
-    assert line_with(link, Desk()).stale() is (gone or waiting > 0)
+    assert connection_with(link, FakeCalls()).stale() is (gone or waiting > 0)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,5 +1,6 @@
-"""Bytes that arrive in the very moment in which a connection is shut or closed: real connections, whose peers
-act between two passes of the loop, so that the order is the same every time."""
+"""Bytes that arrive just as a connection is shut down or closed.
+
+The connections are real; their peers act between two passes of the event loop, which fixes the order."""
 
 import asyncio
 import contextlib
@@ -11,7 +12,7 @@
 
 import pytest
 from fake import OK_200, answer, play, post, read_message
-from test_crossings import Within, front, until  # noqa: F401
+from test_crossings import InProcessWorld, front, until  # noqa: F401
 
 from birchstack import interface as our
 from birchstack.net import driver
@@ -23,10 +24,10 @@
     sock.close()
 
 
-# Small writes leave at once
+# TCP_NODELAY
 
 
-def test_every_connection_holds_no_small_writes_back(tmp_path, monkeypatch):
+def test_every_connection_sets_tcp_nodelay(tmp_path, monkeypatch):
     made, before = {}, driver.Link.connection_made
 
     def connection_made(link, transport):
@@ -40,7 +41,7 @@
 
     async def whole():
         (tmp_path / "state").mkdir()
-        async with Within(tmp_path / "state") as world:
+        async with InProcessWorld(tmp_path / "state") as world:
             world.answers = [answer(500)]
             assert (await world.hand_in("d1", "pay"))[0] == 202
             assert await world.until(lambda: world.notices)
@@ -51,11 +52,11 @@
     assert all(all(each) for each in made.values())
 
 
-# A call and what its endpoint does in the moment of its writing
+# What an endpoint does just as a call is written to it
 
 
 class PausedCall:
-    """A call that has its connection and is not written: the loop stands still while the endpoint acts."""
+    """A call with a connection, not written yet; the event loop does not run while its endpoint acts."""
 
     async def __aenter__(self):
         loop, self.ends, self._up = asyncio.get_running_loop(), [], asyncio.Event()
@@ -79,8 +80,8 @@
         await self._up.wait()
         self.endpoint, _ = self._door.accept()
 
-    async def resting(self):
-        """The same over a connection that served a call before."""
+    async def idle(self):
+        """The same over an idle connection that has served a call."""
         await self.dialled()
         self.calls.go(self.call, True)
         self.endpoint.recv(9999)
@@ -99,7 +100,7 @@
             self.endpoint.close()
 
 
-ACTS = {
+ENDPOINT_ACTIONS = {
     "an answer": lambda sock: sock.sendall(OK_200),
     "an end": lambda sock: sock.close(),
     "half a line": lambda sock: sock.sendall(b"HTTP/1.1 2"),
@@ -107,55 +108,55 @@
 }
 
 
-@pytest.mark.parametrize("act", ACTS)
-@pytest.mark.parametrize("how, kind", [("dialled", our.CONNECT_FAILED), ("resting", our.UNSENT)])
-def test_a_call_is_not_written_after_what_its_endpoint_said_before(how, kind, act):
+@pytest.mark.parametrize("act", ENDPOINT_ACTIONS)
+@pytest.mark.parametrize("how, kind", [("dialled", our.CONNECT_FAILED), ("idle", our.UNSENT)])
+def test_a_call_is_not_written_once_its_endpoint_has_sent_bytes_or_closed(how, kind, act):
     async def whole():
-        async with PausedCall() as moment:
-            await getattr(moment, how)()
-            written = moment.calls.transmitted
-            ACTS[act](moment.endpoint)
-            while not moment.line().stale():  # it is here, and the loop has not run since
+        async with PausedCall() as paused:
+            await getattr(paused, how)()
+            written = paused.calls.transmitted
+            ENDPOINT_ACTIONS[act](paused.endpoint)
+            while not paused.line().stale():  # the bytes are here, and the loop has not run since
                 pass
-            assert not moment.calls.waiting(moment.call)
-            moment.calls.go(moment.call, False)
-            assert moment.ends == [kind] and moment.calls.transmitted == written  # it never left
+            assert not paused.calls.waiting(paused.call)
+            paused.calls.go(paused.call, False)
+            assert paused.ends == [kind] and paused.calls.transmitted == written  # it was never sent
 
     asyncio.run(whole())
 
 
-def test_a_call_whose_connection_is_reset_in_the_moment_of_its_writing_never_left():
+def test_a_call_whose_connection_is_reset_just_before_the_write_was_never_sent():
     async def whole():
-        async with PausedCall() as moment:
-            await moment.resting()
-            line, written = moment.line(), moment.calls.transmitted
-            assert moment.calls.waiting(moment.call)
-            reset(moment.endpoint)  # after the last look
+        async with PausedCall() as paused:
+            await paused.idle()
+            line, written = paused.line(), paused.calls.transmitted
+            assert paused.calls.waiting(paused.call)
+            reset(paused.endpoint)  # after the last check
             while not line.stale():
                 pass
-            moment.calls.go(moment.call, True)
-            assert moment.ends == [our.CONNECT_FAILED] and moment.calls.transmitted == written
+            paused.calls.go(paused.call, True)
+            assert paused.ends == [our.CONNECT_FAILED] and paused.calls.transmitted == written
             await asyncio.sleep(0.02)
-            assert len(moment.ends) == 1
+            assert len(paused.ends) == 1
 
     asyncio.run(whole())
 
 
-def test_an_endpoint_that_ends_each_new_connection_runs_nothing_and_loses_nothing(tmp_path):
+def test_an_endpoint_that_closes_each_new_connection_loses_no_document(tmp_path):
     async def story(world):
-        async def rude(reader, writer):
-            writer.write(b"HTTP/1.1 2" if len(rudely) % 2 else b"")
-            rudely.append(1)
+        async def closes(reader, writer):
+            writer.write(b"HTTP/1.1 2" if len(connections) % 2 else b"")
+            connections.append(1)
             writer.close()
 
-        rudely = []
-        server = await asyncio.start_server(rude, "127.0.0.1", 0)
+        connections = []
+        server = await asyncio.start_server(closes, "127.0.0.1", 0)
         place = "{}:{}".format(*server.sockets[0].getsockname())
         await world.until(lambda: world.watchers)
         world.say({"rev": 8, "all": True, "targets": [world.entry(uid="s-2", place=place)]})
         await asyncio.sleep(0.1)
         assert (await world.hand_in("d1"))[0] == 202
-        assert await world.until(lambda: len(rudely) > 1)
+        assert await world.until(lambda: len(connections) > 1)
         world.say({"rev": 9, "all": True, "targets": [world.entry()]})
         assert await world.until(lambda: '["done","d1"' in world.on_disk(), 6.0)
         assert [call[0] for call in world.calls] == ["d1"] and not world.notices
@@ -164,33 +165,33 @@
     play(tmp_path, story)
 
 
-def test_a_reset_long_after_is_met_by_whoever_it_concerns(tmp_path):
+def test_a_late_reset_leaves_a_call_in_doubt_and_closes_an_idle_connection(tmp_path):
     async def story(world):
         async def late(reader, writer):
             await read_message(reader)
-            heard.append(1)
-            if len(heard) == 1:  # a call is out
+            received.append(1)
+            if len(received) == 1:  # a call is in flight
                 await asyncio.sleep(0.6)
-            else:  # or the connection rests
+            else:  # the connection is idle
                 writer.write(OK_200)
                 await writer.drain()
                 await asyncio.sleep(0.6)
             writer.transport.abort()
 
-        heard = []
+        received = []
         server = await asyncio.start_server(late, "127.0.0.1", 0)
         place = "{}:{}".format(*server.sockets[0].getsockname())
         await world.until(lambda: world.watchers)
         world.say({"rev": 8, "all": True, "targets": [world.entry(uid="s-2", place=place)]})
         await asyncio.sleep(0.1)
-        assert (await world.hand_in("d1", "pay"))[0] == 202 and await world.until(lambda: heard)
+        assert (await world.hand_in("d1", "pay"))[0] == 202 and await world.until(lambda: received)
         assert await world.until(lambda: world.notices == [{"ref": "d1", "result": "dead"}])  # in doubt
         assert (await world.hand_in("d2", "pay"))[0] == 202
         assert await world.until(lambda: '["done","d2"' in world.on_disk())
         await asyncio.sleep(0.8)
         assert (await world.hand_in("d3", "pay"))[0] == 202
         assert await world.until(lambda: '["done","d3"' in world.on_disk())
-        assert len(heard) == 3 and len(world.notices) == 1
+        assert len(received) == 3 and len(world.notices) == 1
         server.close()
 
     play(tmp_path, story)
@@ -211,7 +212,7 @@
         (b"", b"x", False),
     ],
 )
-def test_an_answer_that_never_ends_holds_neither_document_nor_connection(tmp_path, head, piece, delivered):
+def test_an_endless_answer_is_cut_off_and_its_document_ends(tmp_path, head, piece, delivered):
     async def story(world):
         async def endless(reader, writer):
             await read_message(reader)
@@ -222,18 +223,18 @@
                     writer.write(piece)
                     await writer.drain()
                     await asyncio.sleep(0.001)
-            let_go.append(time.monotonic() - began)
+            closed_after.append(time.monotonic() - began)
 
-        let_go = []
+        closed_after = []
         server = await asyncio.start_server(endless, "127.0.0.1", 0)
         place = "{}:{}".format(*server.sockets[0].getsockname())
         await world.until(lambda: world.watchers)
         world.say({"rev": 8, "all": True, "targets": [world.entry(uid="s-2", place=place)]})
         await asyncio.sleep(0.1)
         assert (await world.hand_in("d1", "pay"))[0] == 202
-        assert await world.until(lambda: let_go)
+        assert await world.until(lambda: closed_after)
         assert await world.until(lambda: '["done","d1"' in world.on_disk())
-        assert len(let_go) == 1 and let_go[0] < 1.0
+        assert len(closed_after) == 1 and closed_after[0] < 1.0
         assert world.notices == ([] if delivered else [{"ref": "d1", "result": "dead"}])
         server.close()
 
@@ -243,15 +244,15 @@
 # Clients
 
 
-def test_a_request_that_meets_the_shutdown_is_not_sent_on(tmp_path):
+def test_a_request_sent_after_the_close_of_an_idle_connection_is_not_accepted(tmp_path):
     async def story(world):
-        resting = [await world.client() for _ in range(4)]
-        for reader, writer in resting:
+        idle = [await world.client() for _ in range(4)]
+        for reader, writer in idle:
             writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await read_message(reader))[0][9:12] == "200"
         world.process.send_signal(signal.SIGTERM)
-        for number, (reader, writer) in enumerate(resting):
-            assert await reader.read() == b""  # the shutdown came first
+        for number, (reader, writer) in enumerate(idle):
+            assert await reader.read() == b""  # closed before the request was sent
             writer.write(post(f"d{number}"))
         await asyncio.sleep(0.2)
         assert world.process.returncode is None or world.process.returncode == 0
@@ -264,38 +265,38 @@
     play(tmp_path, story)
 
 
-def test_what_comes_behind_the_last_request_or_the_shutdown_is_read_and_not_sent_on(front):  # noqa: F811
-    came = []
-    front.handed = lambda handed: came.append(handed.id) or handed.reply("taken")
-    client, resting = front.client(), front.client()
+def test_bytes_after_the_last_request_or_the_close_are_read_and_discarded(front):  # noqa: F811
+    submitted = []
+    front.handed = lambda handed: submitted.append(handed.id) or handed.reply("taken")
+    client, idle = front.client(), front.client()
     client.sendall(post("d1", more="Connection: close\r\n") + post("d2") * 50)
     front.turn()
     front.turn(lambda: [each.overdue() for each in [*front._clients]])
-    for each in (client, resting):
+    for each in (client, idle):
         each.sendall(post("d3") * 50)
     front.turn()
-    said = b""
+    received = b""
     while data := client.recv(9999):
-        said += data
-    assert said.count(b"HTTP/1.1 202") == 1  # then the end of the stream, and no reset
-    assert resting.recv(9999) == b""
-    for each in (client, resting):
+        received += data
+    assert received.count(b"HTTP/1.1 202") == 1  # then the end of the stream, and no reset
+    assert idle.recv(9999) == b""
+    for each in (client, idle):
         each.sendall(post("d4"))
         front.turn()
         each.close()
     front.turn()
-    assert came == ["d1"] and not front._leaving and not front._clients
+    assert submitted == ["d1"] and not front._leaving and not front._clients
 
 
-def test_idle_newcomers_do_not_cut_one_off_that_was_told_its_last(front):  # noqa: F811
+def test_new_idle_clients_do_not_reset_a_client_that_was_sent_its_last_answer(front):  # noqa: F811
     client = front.client()
     client.sendall(post("d1", more="Connection: close\r\n"))
     front.turn()
-    idle = [front.client() for _ in range(60)]  # 40 may be in
+    idle = [front.client() for _ in range(60)]  # 40 are accepted
     for _ in range(6):
         front.turn()
     for _ in range(5):
-        client.sendall(b"x")  # would meet a reset
+        client.sendall(b"x")  # would be answered by a reset if the connection were closed
         front.turn()
     assert client.recv(99).startswith(b"HTTP/1.1 202")
     assert len(front._clients) + len(front._leaving) == 40 and idle[0].recv(9) == b""
@@ -303,23 +304,23 @@
         each.close()
 
 
-@pytest.mark.parametrize("go", [socket.socket.close, reset])
-def test_clients_that_send_much_at_once_and_go_leave_nothing_behind(tmp_path, go):
+@pytest.mark.parametrize("leave", [socket.socket.close, reset])
+def test_clients_that_send_many_requests_and_disconnect_leave_nothing_behind(tmp_path, leave):
     async def story(world):
         await world.until(lambda: world.watchers)
-        held = lambda: len(os.listdir(f"/proc/{world.process.pid}/fd"))  # noqa: E731
-        before = held()
+        descriptors = lambda: len(os.listdir(f"/proc/{world.process.pid}/fd"))  # noqa: E731
+        before = descriptors()
         for number in range(30):
             client = socket.create_connection(("127.0.0.1", world.port))
             client.setblocking(False)
-            much = b"".join(post(f"m{number}-{each}", body=b"x" * 500) for each in range(400))
-            client.send(much)
-            go(client)
+            requests = b"".join(post(f"m{number}-{each}", body=b"x" * 500) for each in range(400))
+            client.send(requests)
+            leave(client)
         began = time.monotonic()
         assert (await world.hand_in("d1"))[0] == 202 and time.monotonic() - began < 1.0
-        assert await world.until(lambda: held() <= before + 6)
+        assert await world.until(lambda: descriptors() <= before + 6)
         taken = world.on_disk().count('["take",')
-        assert 1 <= taken <= 1 + 30 * 8  # no more of each than may wait on one connection
+        assert 1 <= taken <= 1 + 30 * 8  # of each client no more than may be unanswered on one connection
         assert await world.until(lambda: world.on_disk().count('["done",') == taken)
         assert len(world.calls) == len({call[0] for call in world.calls}) and not world.notices
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross, in the order that goes wrong, every time: see docs/notes/crossings.md.
+"""Races between two events, always in the order that could go wrong: see docs/notes/crossings.md.
 
-A peer waits for a condition before it goes on; nothing here rests on how fast anything is."""
+Peers wait for a condition before they go on, so no result depends on timing."""
 
 import asyncio
 import json
@@ -20,23 +20,23 @@
 from birchstack.net.machine import Machine
 from birchstack.net.notices import Notices
 
-# A connection that comes up late: what was decided before may not be written after
+# A connection established late: a call decided earlier may no longer be allowed
 
 
 @pytest.mark.parametrize("meanwhile", ["wait", "leaving", "left", "moved"])
-def test_what_happens_while_a_connection_comes_up_keeps_its_call_from_being_written(tmp_path, meanwhile):
+def test_a_call_is_not_written_if_its_endpoint_changed_while_it_was_dialled(tmp_path, meanwhile):
     async def story(world):
-        shut, said = Shut(), asyncio.get_running_loop().create_future()
-        world.answers = [said]
+        shut, answered = Shut(), asyncio.get_running_loop().create_future()
+        world.answers = [answered]
         both = [world.entry(), world.entry(uid="s-2", place=shut.place)]
         world.say({"rev": 8, "all": True, "targets": both})
         await listed(world, 2)
-        for doc in ("d1", "d2"):  # one to each endpoint
+        for doc in ("d1", "d2"):  # one for each endpoint
             assert (await world.hand_in(doc))[0] == 202
         assert await world.until(lambda: world.calls)
         await shut.dialled(world)
         if meanwhile == "wait":
-            said.set_result(answer(429, X_Come_Back_Ms="2500"))
+            answered.set_result(answer(429, X_Come_Back_Ms="2500"))
             assert await world.until(lambda: '["wait","s-1"' in world.on_disk())
         else:
             place = shut.place if meanwhile != "moved" else "127.0.0.1:9"
@@ -55,19 +55,19 @@
         await shut.open()
         assert await world.until(lambda: shut.heard) and shut.heard[0] == b""
         if meanwhile != "wait":
-            said.set_result(OK_200)
+            answered.set_result(OK_200)
         assert await world.until(lambda: world.on_disk().count('["done"') == 2, 8.0)
 
     play(tmp_path, story, changes={"settings__limits__dialTimeoutMs": 5000.0})
 
 
 async def listed(world, count):
-    """Waits until the sender knows so many endpoints."""
+    """Waits until the sender's list has that many endpoints."""
     while f"pool_size={count}\n" not in (await world.operator("GET", "/metrics"))[1]:
         await asyncio.sleep(0.01)
 
 
-# The watch of the list
+# The watch of the list of endpoints
 
 ENTRY = {
     "uid": "s-{",
@@ -88,9 +88,9 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def watched(story, said, monkeypatch=None, **figures):
-    """Plays a watch against a platform that says said(writer, times asked); story gets what it heard."""
-    for name, value in figures.items():
+def run_watch(story, respond, monkeypatch=None, **constants):
+    """Runs a watch against a platform that answers by respond(writer, number of requests so far)."""
+    for name, value in constants.items():
         monkeypatch.setattr(discovery, name, value)
 
     async def whole():
@@ -99,7 +99,7 @@
         async def platform(reader, writer):
             asked.append((await read_message(reader))[0])
             try:
-                await said(writer, len(asked))
+                await respond(writer, len(asked))
                 await reader.read()
             except ConnectionError:
                 pass
@@ -133,8 +133,8 @@
     ],
 )
 @pytest.mark.parametrize("size", [1, 7, 4096])
-def test_a_list_is_read_however_it_is_indented_and_cut(text, size):
-    async def said(writer, times):
+def test_a_list_is_read_however_it_is_indented_and_split(text, size):
+    async def respond(writer, times):
         writer.write(HEAD)
         for at in range(0, len(text), size):
             writer.write(chunk(text[at : at + size]))
@@ -145,7 +145,7 @@
         assert {(mode, listed[0][0].name) for mode, listed in heard} == {(our.WHOLE, "s-{")}
         assert len(asked) == 1
 
-    watched(story, said)
+    run_watch(story, respond)
 
 
 async def no_head(writer):
@@ -154,7 +154,7 @@
 
 async def no_whole_line(writer):
     writer.write(HEAD)
-    while True:  # bytes keep coming, an object never
+    while True:  # bytes keep coming, but never a complete object
         writer.write(chunk(b'{"rev": 8, "all": true, "targets": [' if writer.transport else b""))
         await writer.drain()
         await asyncio.sleep(0.01)
@@ -173,8 +173,8 @@
 
 
 @pytest.mark.parametrize("broken", [no_head, no_whole_line, no_end, nothing])
-def test_a_watch_that_says_no_whole_thing_is_silent_and_opened_anew(broken, monkeypatch):
-    async def said(writer, times):
+def test_a_watch_without_a_complete_object_counts_as_silent_and_is_reopened(broken, monkeypatch):
+    async def respond(writer, times):
         if times == 1:
             await broken(writer)
         writer.write(HEAD + chunk(json.dumps(LIST).encode() + b"\n"))
@@ -183,21 +183,21 @@
         await until(lambda: heard)
         assert len(asked) == 2
 
-    watched(story, said, monkeypatch, BEAT_S=0.1, ANSWER_S=0.2)
+    run_watch(story, respond, monkeypatch, BEAT_S=0.1, ANSWER_S=0.2)
 
 
-def test_what_came_whole_before_a_watch_ended_counts():
-    async def said(writer, times):
+def test_a_complete_list_counts_even_if_the_watch_ends_after_it():
+    async def respond(writer, times):
         writer.write(HEAD + chunk(json.dumps(LIST).encode() + b"\n") + b"0\r\n\r\n")
 
     async def story(watch, heard, asked):
         await until(lambda: heard and len(asked) == 2)
         assert asked[1].split()[1].endswith("after=8")
 
-    watched(story, said)
+    run_watch(story, respond)
 
 
-# The end of a process
+# Shutdown of a process
 
 
 def listens(port):
@@ -205,7 +205,7 @@
     return any(words[1].endswith(f":{port:04X}") and words[3] == "0A" for words in lines)
 
 
-def test_a_client_that_was_let_in_last_is_answered_after_the_door_is_shut(tmp_path):
+def test_a_client_accepted_last_is_answered_after_the_listener_is_closed(tmp_path):
     async def story(world):
         reader, writer = await world.client()
         world.process.send_signal(signal.SIGTERM)
@@ -219,7 +219,7 @@
 
 @pytest.fixture
 def front():
-    """A front on a real loop, and its clients: blocking sockets, so that the loop runs only when told to."""
+    """A Front on a real event loop. Its clients are blocking sockets: the loop runs only in front.turn()."""
 
     async def make():
         front = Front(
@@ -244,31 +244,31 @@
         yield front
 
 
-def test_who_waits_at_the_door_as_it_shuts_is_let_in(front):
+def test_clients_in_the_backlog_are_accepted_before_the_listener_is_closed(front):
     clients = [front.client() for _ in range(40)]
     for client in clients:
         client.sendall(post("d1"))
-    front.turn(lambda: (front.close(), front.shut()))  # before the loop has let them in
+    front.turn(lambda: (front.close(), front.shut()))  # before the loop has accepted them
     for _ in range(5):
         front.turn()
     assert all(client.recv(99).startswith(b"HTTP/1.1 202") for client in clients)
     assert not front._server.is_serving()
 
 
-def test_a_request_that_crosses_the_close_of_an_idle_connection_meets_its_end_not_a_reset(front):
+def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_an_end_of_stream_not_a_reset(front):
     client = front.client()
     front.turn()
     (idle,) = front._clients
     front.turn(idle.overdue)
     client.sendall(post("d1"))
     front.turn()
-    assert client.recv(99) == b""  # and not ConnectionResetError: it may come again
+    assert client.recv(99) == b""  # no ConnectionResetError, so the client may send it again
 
 
-# An answer and a time-out, a notice and its answer
+# An answer against a time-out, a notice against its answer
 
 
-def test_an_answer_that_has_come_when_its_time_is_over_is_read_first():
+def test_an_answer_that_has_arrived_at_the_time_out_is_read_first():
     async def whole():
         loop, ends, connected = asyncio.get_running_loop(), [], asyncio.Event()
         calls = Calls(
@@ -291,19 +291,19 @@
             endpoint.recv(999)
             endpoint.sendall(answer(503))
             line = calls._busy["d1"]
-            while not line._link.unread():  # it is here, and the loop has not run since
+            while not line._link.unread():  # the answer is here, and the loop has not run since
                 pass
             line._timed_out()
             await until(lambda: ends)
             endpoint.close()
-        assert ends == [our.FULL]  # it never ran; and not a time-out that leaves that open
+        assert ends == [our.FULL]  # a refusal, not a time-out, which would leave it in doubt
         calls.close()
 
     asyncio.run(whole())
 
 
-def noticed(story, said):
-    """said(writer, times): what the platform does after the POST of that number."""
+def run_notices(story, respond):
+    """Runs notices against a platform that answers each POST by respond(writer, its number)."""
 
     async def whole():
         posts, known, loop = [], [], asyncio.get_running_loop()
@@ -311,7 +311,7 @@
         async def platform(reader, writer):
             while (message := await read_message(reader)) is not None:
                 posts.append((loop.time(), message[2].decode()))
-                said(writer, len(posts))
+                respond(writer, len(posts))
             writer.close()
 
         server = await asyncio.start_server(platform, "127.0.0.1", 0)
@@ -324,19 +324,19 @@
     asyncio.run(whole())
 
 
-def test_a_notice_whose_connection_fell_silent_is_told_again_in_its_time():
+def test_a_notice_on_a_silent_connection_is_sent_again_in_time():
     async def story(notices, posts, known):
         notices.tell("d0", "dead", 0.0)
         await until(lambda: known == ["d0"])
-        notices.tell("d1", "dead", 0.0)  # on the connection that says nothing any more
+        notices.tell("d1", "dead", 0.0)  # on the connection that has fallen silent
         await until(lambda: known == ["d0", "d1"])
-        assert len(posts) == 3 and posts[2][0] - posts[1][0] < 0.25  # of the 300 ms that it has
-        assert notices._answer_s < 0.2  # and a platform that answers again is waited for as before
+        assert len(posts) == 3 and posts[2][0] - posts[1][0] < 0.25  # within the 300 ms that the notice has
+        assert notices._answer_s < 0.2  # the time-out shrinks again once the platform answers
 
-    noticed(story, lambda writer, times: times == 2 or writer.write(b"HTTP/1.1 204 No\r\n\r\n"))
+    run_notices(story, lambda writer, times: times == 2 or writer.write(b"HTTP/1.1 204 No\r\n\r\n"))
 
 
-def test_an_answer_that_nobody_asked_for_acknowledges_no_later_notice():
+def test_an_unsolicited_answer_acknowledges_no_later_notice():
     async def story(notices, posts, known):
         notices.tell("d0", "dead", 0.0)
         notices.tell("d1", "dead", 0.0)  # waits for the answer to the first
@@ -345,14 +345,14 @@
         await until(lambda: known == ["d0", "d1"])
 
     answers = {1: b"HTTP/1.1 204 No\r\n\r\n" * 2, 2: b""}
-    noticed(story, lambda writer, times: writer.write(answers.get(times, b"HTTP/1.1 204 No\r\n\r\n")))
+    run_notices(story, lambda writer, times: writer.write(answers.get(times, b"HTTP/1.1 204 No\r\n\r\n")))
 
 
-# A delivery and the end of a document's time
+# A delivery against the expiry of its document
 
 
-class Within(World):
-    """The sender runs in this process, so that a story can move its figures."""
+class InProcessWorld(World):
+    """The sender runs in the test's process, so that its constants can be patched."""
 
     async def start(self):
         raw = json.loads(Path(self.configured()).read_text())
@@ -369,12 +369,12 @@
 
 
 @pytest.mark.parametrize("near_ms, notices", [(60000.0, [{"ref": "d1", "result": "dead"}]), (100.0, [])])
-def test_a_delivery_that_crosses_the_end_of_its_time_is_ended_by_a_notice_too(
+def test_a_delivery_that_crosses_the_expiry_is_also_ended_by_a_notice(
     tmp_path, monkeypatch, near_ms, notices
 ):
     async def whole():
         (tmp_path / "state").mkdir()
-        async with Within(tmp_path / "state") as world:
+        async with InProcessWorld(tmp_path / "state") as world:
             assert (await world.hand_in("d1"))[0] == 202
             assert await world.until(lambda: '["done","d1"' in world.on_disk())
             assert world.notices == notices and len(world.calls) == 1 and not world.node._ledger.owed
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Few descriptors: idle clients fill them while discovery is away, and everyone else still gets theirs."""
+"""A low limit of file descriptors: idle clients use up theirs, and all other connections still get one."""
 
 import asyncio
 import contextlib
@@ -14,18 +14,18 @@
 from birchstack.net.machine import PAUSE_S, Listener
 from birchstack.net.room import RESERVE, shares
 
-LIMIT = 100
+DESCRIPTOR_LIMIT = 100
 
 
-def held(process):
+def descriptors_of(process):
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
 class Crowd:
-    """Idle clients: each connects, asks nothing, and comes again soon after it was let go."""
+    """Idle clients: each connects, sends nothing, and connects again soon after it was closed."""
 
     def __init__(self, world, count):
-        self.let_go, self._world = 0, world
+        self.closed, self._world = 0, world
         self._tasks = [asyncio.create_task(self._one(number)) for number in range(count)]
 
     async def _one(self, number):
@@ -36,7 +36,7 @@
                     await reader.read()
                 finally:
                     writer.close()
-                self.let_go += 1
+                self.closed += 1
             await asyncio.sleep(0.2 + number / 1000.0)
 
     async def leave(self):
@@ -56,24 +56,26 @@
 
 
 class Traffic:
-    """A document every 30 ms over a connection of its own: what it was answered. The operators' door is asked
-    and the descriptors are counted meanwhile."""
+    """Submits a document every 30 ms, each over its own connection, and collects the answers.
+
+    Meanwhile it polls the operators' listener and counts the sender's descriptors.
+    """
 
     def __init__(self, world):
-        self._world, self.said, self.slowest, self.most = world, [], 0.0, 0
-        self._tasks = [asyncio.create_task(each()) for each in (self._hand_in, self._operate)]
+        self._world, self.statuses, self.slowest, self.most = world, [], 0.0, 0
+        self._tasks = [asyncio.create_task(each()) for each in (self._submit, self._poll_operators)]
 
-    async def _hand_in(self):
+    async def _submit(self):
         for number in range(10000):
-            self.said.append((await asyncio.wait_for(self._world.hand_in(f"t{number}"), 2.0))[0])
+            self.statuses.append((await asyncio.wait_for(self._world.hand_in(f"t{number}"), 2.0))[0])
             await asyncio.sleep(0.03)
 
-    async def _operate(self):
+    async def _poll_operators(self):
         while True:
             began = time.monotonic()
             assert (await asyncio.wait_for(self._world.operator("GET", "/metrics"), 2.0))[0] == 200
             self.slowest = max(self.slowest, time.monotonic() - began)
-            self.most = max(self.most, held(self._world.process))
+            self.most = max(self.most, descriptors_of(self._world.process))
             await asyncio.sleep(0.05)
 
     async def end(self):
@@ -83,7 +85,7 @@
         assert all(isinstance(each, asyncio.CancelledError) for each in ended), ended
 
 
-def test_idle_clients_fill_the_descriptors_while_discovery_is_away(tmp_path):
+def test_idle_clients_use_up_their_descriptors_while_discovery_is_down(tmp_path):
     async def story(world):
         await world.until(lambda: world.watchers)
 
@@ -96,10 +98,10 @@
         at_second = []
         server = await asyncio.start_server(second, "127.0.0.1", 0)
         place = "{}:{}".format(*server.sockets[0].getsockname())
-        before = held(world.process)
+        before = descriptors_of(world.process)
         traffic = Traffic(world)
         platform, where = world._servers[1], world._servers[1].sockets[0].getsockname()
-        platform.close()  # discovery is away: no watch, no notices, dials refused
+        platform.close()  # discovery is down: no watch, no notices, dials refused
         for writer in world.watchers:
             writer.transport.abort()
         crowd = Crowd(world, 300)
@@ -108,7 +110,7 @@
         world.answers = Answers(world, "lost")
         assert (await world.hand_in("lost", "pay"))[0] == 202
         await asyncio.sleep(0.7)
-        assert len(world.calls) > calls + 10 and crowd.let_go > 100  # endpoints are dialled and called
+        assert len(world.calls) > calls + 10 and crowd.closed > 100  # endpoints are still called
         assert not world.notices and '["notice","lost","dead"' in world.on_disk()
         world.lines = [{"rev": 8, "all": True, "targets": [world.entry(uid="s-2", place=place)]}]
         world._servers[1] = await asyncio.start_server(world._platform, *where)
@@ -120,9 +122,10 @@
         await asyncio.sleep(0.5)
         await crowd.leave()
         await traffic.end()
-        assert set(traffic.said) == {202}
-        assert await world.until(lambda: world.on_disk().count('["done","t') == len(traffic.said))
-        assert await world.until(lambda: held(world.process) <= before + 4)  # and as before when they left
+        assert set(traffic.statuses) == {202}
+        assert await world.until(lambda: world.on_disk().count('["done","t') == len(traffic.statuses))
+        # as before, once the idle clients have left
+        assert await world.until(lambda: descriptors_of(world.process) <= before + 4)
         many = [await world.client() for _ in range(20)]
         for number, (_, writer) in enumerate(many):
             writer.write(post(f"after{number}"))
@@ -130,23 +133,28 @@
         log = world.log()
         assert not any(word in log for word in ("system resource", "not noted", "not taken on", "not sent"))
         print(
-            f"acted on after {acted:.2f} s, the door's slowest answer {1000 * traffic.slowest:.0f} ms, "
-            f"descriptors {before} before, {traffic.most} of {LIMIT} at most, "
-            f"{len(traffic.said)} documents, {crowd.let_go} idle ones let go"
+            f"acted on after {acted:.2f} s, the operators' slowest answer {1000 * traffic.slowest:.0f} ms, "
+            f"descriptors {before} before, {traffic.most} of {DESCRIPTOR_LIMIT} at most, "
+            f"{len(traffic.statuses)} documents, {crowd.closed} idle clients closed"
+        )
+        assert (
+            acted < 6.0
+            and before + 12 <= RESERVE
+            and traffic.most < DESCRIPTOR_LIMIT
+            and traffic.slowest < 1.0
         )
-        assert acted < 6.0 and before + 12 <= RESERVE and traffic.most < LIMIT and traffic.slowest < 1.0
         server.close()
 
-    play(tmp_path, story, descriptors=LIMIT)
+    play(tmp_path, story, descriptors=DESCRIPTOR_LIMIT)
 
 
-def test_where_the_system_has_none_left_idle_clients_give_theirs_to_who_asks(tmp_path):
+def test_idle_clients_are_closed_for_a_new_one_if_the_system_has_no_descriptor_left(tmp_path):
     async def story(world):
         await world.until(lambda: world.watchers)
         idle = [await world.client() for _ in range(20)]
-        await world.operator("GET", "/ready")  # they are in
+        await world.operator("GET", "/ready")  # they are accepted by now
         hard = resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE)[1]
-        resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (held(world.process), hard))
+        resource.prlimit(world.process.pid, resource.RLIMIT_NOFILE, (descriptors_of(world.process), hard))
         assert (await asyncio.wait_for(world.hand_in("d1"), 1.0))[0] == 202
         assert await world.until(lambda: world.calls)
         assert await asyncio.wait_for(idle[0][0].read(), 1.0) == b""
@@ -155,8 +163,8 @@
     play(tmp_path, story)
 
 
-class Short(socket.socket):
-    """Says that there is no descriptor for whoever knocks, until the story lets it."""
+class ShortSocket(socket.socket):
+    """A listening socket that has no descriptor for a new connection until the test allows it."""
 
     none, tried = True, 0
 
@@ -167,22 +175,22 @@
         return super().accept()
 
 
-def test_accepting_rests_while_no_descriptor_is_left_and_goes_on_after():
+def test_accepting_pauses_while_no_descriptor_is_left_and_then_continues():
     async def whole():
-        told, came = [], []
-        with Short() as door:
+        reported, accepted = [], []
+        with ShortSocket() as door:
             door.bind(("127.0.0.1", 0))
             door.listen()
             loop = asyncio.get_running_loop()
             listener = Listener(
-                loop, door, lambda: came.append(1) or asyncio.Protocol(), 2, lambda: told.append(1)
+                loop, door, lambda: accepted.append(1) or asyncio.Protocol(), 2, lambda: reported.append(1)
             )
             clients = [socket.create_connection(door.getsockname()) for _ in range(9)]
             await asyncio.sleep(4.5 * PAUSE_S)
-            assert 1 <= door.tried == len(told) <= 5 and not came
+            assert 1 <= door.tried == len(reported) <= 5 and not accepted
             door.none = False
             async with asyncio.timeout(2.0):
-                while len(came) < len(clients):
+                while len(accepted) < len(clients):
                     await asyncio.sleep(0.01)
             listener.close()
             for each in clients:
@@ -197,22 +205,23 @@
         room = shares(descriptors, slots)
         assert RESERVE + room.clients + 2 * room.coming + room.callers + room.idle + room.slots <= descriptors
         assert min(room.clients, room.slots, room.idle, room.callers) >= min(slots, 4)
-        assert room.slots == slots or room.clients <= max(descriptors // 4, 8)  # calls go before clients
+        # calls have priority over clients
+        assert room.slots == slots or room.clients <= max(descriptors // 4, 8)
 
 
-def test_operators_that_rest_behind_their_answer_keep_no_more_than_their_share(tmp_path):
+def test_operators_that_do_not_close_after_the_answer_use_no_more_than_their_share(tmp_path):
     async def story(world):
         await world.until(lambda: world.watchers)
-        before, rest = held(world.process), []
+        before, unclosed = descriptors_of(world.process), []
         for _ in range(40):
             reader, writer = await asyncio.open_connection("127.0.0.1", world.ops)
             writer.write(b"GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n")
             assert (await read_message(reader))[0][9:12] == "200"
-            rest.append(writer)  # and does not go
-        room = shares(LIMIT, 4)
-        assert held(world.process) <= before + room.callers + 4 < before + len(rest)
+            unclosed.append(writer)  # the client does not close its side
+        room = shares(DESCRIPTOR_LIMIT, 4)
+        assert descriptors_of(world.process) <= before + room.callers + 4 < before + len(unclosed)
         assert (await world.hand_in("d1"))[0] == 202
-        for each in rest:
+        for each in unclosed:
             each.close()
 
-    play(tmp_path, story, descriptors=LIMIT)
+    play(tmp_path, story, descriptors=DESCRIPTOR_LIMIT)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The state machines: fed bytes, whole and in pieces."""
+"""The HTTP/1.1 parsers and encoders, fed whole messages and pieces of them."""
 
 import contextlib
 
@@ -26,7 +26,7 @@
         (HEAD + b"\r\n", b""),
     ],
 )
-def test_a_request_however_it_is_split_and_the_one_behind_it(step, text, body):
+def test_requests_are_parsed_however_they_are_split(step, text, body):
     heads, read_body, ends = read(http1.Requests(), text + b"\r\n" + text, step)
     assert (len(heads), read_body, ends) == (2, body * 2, 2)
     assert heads[0].path == "/sync" and heads[0].keep and heads[0].fields["host"] == "a"
@@ -64,7 +64,7 @@
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1" * 5000, 431),
     ],
 )
-def test_what_is_no_request_or_beyond_a_limit(text, status):
+def test_requests_that_are_malformed_or_beyond_a_limit(text, status):
     with pytest.raises(http1.Malformed) as problem:
         [*http1.Requests().feed(text)]
     assert problem.value.status == status
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     "fields, keep", [("", True), ("Connection: close\r\n", False), ("connection: x, Close\r\n", False)]
 )
-def test_connections_are_kept_unless_one_side_says_close(fields, keep):
+def test_connections_persist_unless_one_side_says_close(fields, keep):
     heads, _, _ = read(http1.Requests(), HEAD + fields.encode() + b"\r\n", 100)
     assert heads[0].keep is keep
 
@@ -96,7 +96,7 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 500])
-def test_answers(text, status, keep, ends, step):
+def test_responses_are_parsed_however_they_are_split(text, status, keep, ends, step):
     reader = http1.Responses()
     heads, _, ended = read(reader, text, step)
     assert (heads[0].status, heads[0].keep, ended) == (status, keep, ends)
@@ -117,7 +117,7 @@
         b"HTTP/1.1 500 No\r\nContent-Length: 3000000000\r\n\r\n",
     ],
 )
-def test_what_is_no_answer(text):
+def test_malformed_responses(text):
     with pytest.raises(http1.Malformed):
         [*http1.Responses().feed(text)]
 
@@ -136,19 +136,19 @@
         (b"HTTP/1.1 2000 OK\r\n", 0),
     ],
 )
-def test_a_first_line_counts_before_its_head_is_whole(text, status):
+def test_a_status_line_counts_before_its_head_is_complete(text, status):
     reader = http1.Responses()
     with contextlib.suppress(http1.Malformed):
         [*reader.feed(text)]
     assert reader.told == status
 
 
-def test_an_answer_is_told_before_what_comes_behind_it_is_looked_at():
+def test_a_response_is_returned_before_bytes_after_it_are_parsed():
     events = http1.Responses().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n\0noise")
     assert [next(events).status, next(events)] == [200, http1.END]
 
 
-def test_what_is_encoded_is_decoded():
+def test_encoded_messages_are_parsed_back():
     text = http1.request("POST", "/hook", "h:1", {"Request-Id": "d"}, b"\0body")
     heads, body, ends = read(http1.Requests(), text, 3)
     assert (heads[0].fields["request-id"], body, ends) == ("d", b"\0body", 1)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The last resorts of the sender: faults that should not be, met by what is owed."""
+"""Safety nets of sender.Node: exceptions in the decision logic, disk errors, stalls, bounds of memory."""
 
 import asyncio
 import dataclasses
@@ -15,23 +15,23 @@
 
 
 class Handed:
-    """A document as a second front would hand it in."""
+    """A document that is submitted without a client connection."""
 
     type, destination, key, repeat_key, tenant, body = "sync", 1, None, None, None, b"x"
 
     def __init__(self, doc_id="d", left_ms=5000.0, gone=False):
-        self.id, self.left_ms, self._gone, self.said, self.again = doc_id, left_ms, gone, [], []
+        self.id, self.left_ms, self._gone, self.replies, self.again = doc_id, left_ms, gone, [], []
 
     def told(self):
         return 40.0, self._gone
 
     def reply(self, verdict, wait_ms=0.0, close=False):
-        self.said.append((verdict, wait_ms))
+        self.replies.append((verdict, wait_ms))
 
 
 @pytest.fixture
 def node(tmp_path, monkeypatch):
-    """A sender whose door is not open yet; what does not hold is only written down, as in release."""
+    """A sender that does not listen yet; violated invariants are only collected, as in release builds."""
     broken = []
     monkeypatch.setattr(module, "holds", lambda what, text: bool(what) or broken.append(text) or False)
 
@@ -50,37 +50,37 @@
     raise ZeroDivisionError
 
 
-def test_a_second_front_is_answered_in_the_projects_words(node):
+def test_a_submission_from_elsewhere_is_answered_by_its_verdict(node):
     async def story():
         handed, gone = Handed(), Handed("e", gone=True)
         node._events += [(node._accept, handed), (node._accept, gone)]
         node._turn()
         node._log_state()
-        assert handed.said == [(TAKEN, 0.0)] and gone.said == [(CLOSED, 0.0)]
+        assert handed.replies == [(TAKEN, 0.0)] and gone.replies == [(CLOSED, 0.0)]
         assert [*node._ledger.owed] == ["d"] and handed.left_ms == 4960.0
 
     node.run(story)
 
 
-def test_a_fault_of_the_decisions_at_the_door_refuses_and_owes_nothing(node):
+def test_an_exception_while_a_document_is_submitted_refuses_it_and_holds_nothing(node):
     async def story():
         node._core.document = fault
         handed = Handed()
         node._events.append((node._accept, handed))
         node._turn()
-        assert handed.said == [(CLOSED, 3000.0)] and not node._ledger.owed and node.broken
+        assert handed.replies == [(CLOSED, 3000.0)] and not node._ledger.owed and node.broken
 
     node.run(story)
 
 
-def test_a_document_that_the_decisions_let_pass_its_expiry_is_abandoned(node):
+def test_a_document_left_unended_past_its_expiry_is_abandoned(node):
     async def story():
         node._events.append((node._accept, Handed(left_ms=300.0)))
         node._turn()
         node._core.turn = fault
-        time.sleep(0.5)  # the process stands still
+        time.sleep(0.5)  # the process stalls
         node._end_overdue()
-        assert node._ledger.owed["d"].notice is None  # the decisions have had no turn since
+        assert node._ledger.owed["d"].notice is None  # the decision logic has had no turn since then
         node._turn()
         node._end_overdue()
         assert node._ledger.owed["d"].notice == ("dead", 0.0) and node.broken
@@ -88,14 +88,14 @@
     node.run(story)
 
 
-def test_a_ledger_that_cannot_be_written_takes_nothing_on_and_sends_nothing(node, monkeypatch):
+def test_a_ledger_that_cannot_be_written_accepts_and_sends_nothing(node, monkeypatch):
     async def story():
         monkeypatch.setattr(node._ledger, "take", lambda *words: (_ for _ in ()).throw(OSError("full")))
         handed = Handed()
         node._events.append((node._accept, handed))
         node._turn()
         node._turn()
-        assert handed.said == [(CLOSED, 3000.0)] and not node._core._held and not len(node._calls)
+        assert handed.replies == [(CLOSED, 3000.0)] and not node._core._held and not len(node._calls)
         assert node._core._out == 0
 
     node.run(story)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("mode", [our.CHANGES, our.WHOLE])
-def test_what_was_listed_and_went_leaves_nothing_behind(node, mode):
+def test_endpoints_that_left_the_list_leave_nothing_in_memory(node, mode):
     async def story():
         for number in range(6000):
             if mode == our.CHANGES and number:
@@ -120,7 +120,7 @@
     node.run(story)
 
 
-def test_answers_remembered_are_bounded_and_nothing_else_is_kept_of_documents_that_ended(node):
+def test_remembered_answers_are_bounded_and_ended_documents_leave_nothing_else(node):
     async def story():
         for number in range(5000):
             handed = Handed(f"d{number}", left_ms=40.0 if number % 2 else 20000.0)
@@ -136,7 +136,7 @@
     node.run(story)
 
 
-def test_an_alarm_that_is_asked_for_again_and_again_is_one_alarm(node):
+def test_repeated_requests_to_wake_set_one_timer(node):
     async def story():
         turns = []
         node._turn = lambda: turns.append(setattr(node, "_turn_due", False))
@@ -149,29 +149,30 @@
 
 
 @pytest.mark.parametrize("window, written", [(1000.0, False), (9000.0, True)])
-def test_a_window_that_ends_during_a_long_turn_bars_the_call_that_the_turn_decided(node, window, written):
+def test_a_window_that_ends_during_a_long_turn_prevents_the_call_decided_in_it(node, window, written):
     async def story():
         kind = our.DocumentType("order", our.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False)
         node._core.adopt(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
         node._front.types["order"], wall = 20000.0, node._lasting.ms()
         owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
-        node._ledger.call(owed, "a", wall - 700.0)  # out when its process ended
+        node._ledger.call(owed, "a", wall - 700.0)  # in flight when its process ended
         node._ledger.close()
         node._ledger = Ledger(node._folder, 3_000_000)
         node._on_list(our.WHOLE, [listed("e1", our.READY, 9)])
         node._recover(node._ledger.owed)
-        turn, gone = node._core.turn, []
-        node._core.turn = lambda now: (turn(now), time.sleep(0.4))  # many documents, little processor
+        turn, written_calls = node._core.turn, []
+        # a long turn: many documents, a slow processor
+        node._core.turn = lambda now: (turn(now), time.sleep(0.4))
         node._calls.begin = node._calls.waiting = lambda call: True
-        node._calls.go = lambda call, may: gone.append(may)
+        node._calls.go = lambda call, may_write: written_calls.append(may_write)
         node._turn()
-        assert gone == [written]
+        assert written_calls == [written]
 
     node.run(story)
 
 
-def test_an_expiry_on_disk_counts_from_the_beginning_of_a_long_turn(node, monkeypatch):
-    steady = 5_000_000.0  # moved by hand: the sum of two real clocks is rounded, by the wall clock's size
+def test_an_expiry_on_disk_counts_from_the_start_of_a_long_turn(node, monkeypatch):
+    steady = 5_000_000.0  # fake: the sum of two real clocks is rounded, as the wall clock is large
     monkeypatch.setattr(node._machine, "steady_ms", lambda: steady)
     monkeypatch.setattr(node, "clock", lambda: steady - 4_000_000.0)
 
--- a/tests/test_overflow.py
+++ b/tests/test_overflow.py
@@ -1,4 +1,4 @@
-"""Documents beyond a destination's window: drawn days in virtual time, and real processes that are killed."""
+"""The backlog of documents on disk: random scenarios in virtual time, and real processes that are killed."""
 
 import asyncio
 import os
@@ -21,8 +21,8 @@
 )
 
 
-class Seen:
-    """A maker of stores that counts what went through them."""
+class CountingStores:
+    """A store factory that counts the documents written to its stores."""
 
     def __init__(self, window=4):
         self._make, self.kept, self.stores = maker(settings.Settings(window=window, bytes=ROOM)), 0, []
@@ -41,52 +41,55 @@
 
 
 def played(scenario, seed, window=4):
-    seen = Seen(window)
-    day = VirtualDay(scenario, seed, keep_log=True, store=seen)
+    stores = CountingStores(window)
+    day = VirtualDay(scenario, seed, keep_log=True, store=stores)
     result = day.play()
     assert not result.breaches, result.text_of_breaches()
-    return day, result, seen
+    return day, result, stores
 
 
-def test_on_drawn_days_no_rule_breaks_with_lines_on_disk():
+def test_no_rule_breaks_in_random_scenarios_with_a_backlog_on_disk():
     kept = 0
     for seed in range(3000, 3014):
-        _, result, seen = played(draw(seed, Scenario(seconds=20.0)), seed, window=1 + seed % 4)
+        _, result, stores = played(draw(seed, Scenario(seconds=20.0)), seed, window=1 + seed % 4)
         assert result.figures["delivered"] > 300
-        kept += seen.kept
+        kept += stores.kept
     assert kept > 500
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_sender_that_starts_again_does_not_push_over_what_it_has_a_line_for(seed):
-    """A window holds few documents, so few failures are known after a restart; the line says it was down."""
+def test_a_restarted_sender_does_not_overload_endpoints_that_it_has_a_backlog_for(seed):
+    """A destination with documents on disk counts as down after a restart.
+
+    Its window holds few documents, so the ledger alone shows too few failures.
+    """
     kills = (Trouble(kind="kill", at=6.0, senders=(0,)), Trouble(kind="sigterm", at=8.5, senders=(1,)))
-    _, result, seen = played(Scenario(seconds=20.0, senders=2, troubles=TWO_DOWN + kills), 5 + seed)
-    assert seen.kept > 50 and not any(map(len, seen.stores[-2:]))
+    _, result, stores = played(Scenario(seconds=20.0, senders=2, troubles=TWO_DOWN + kills), 5 + seed)
+    assert stores.kept > 50 and not any(map(len, stores.stores[-2:]))
 
 
 @pytest.mark.parametrize("write", [1, 2, 3, 5, 8, 13, 21, 34])
 @pytest.mark.parametrize("kind", WRITES)
 def test_a_kill_at_a_write_loses_nothing_that_waits_on_disk(kind, write):
-    """In fill (5 s) and in the drain after the return (10 s)."""
+    """Once while the backlog fills (5 s), once while it drains after the endpoint's return (10 s)."""
     kills = tuple(Trouble(kind=kind, at=at, senders=(0,), size=float(write)) for at in (5.0, 10.0))
-    day, _, seen = played(Scenario(seconds=18.0, senders=1, troubles=TWO_DOWN + kills), 3)
-    assert [life.how for life in day.judge.lives[0]] == ["killed at a write"] * 2 + [""] and seen.kept > 20
+    day, _, stores = played(Scenario(seconds=18.0, senders=1, troubles=TWO_DOWN + kills), 3)
+    assert [life.how for life in day.judge.lives[0]] == ["killed at a write"] * 2 + [""] and stores.kept > 20
 
 
-def test_a_full_disk_refuses_and_what_waits_is_still_delivered():
+def test_a_full_disk_refuses_documents_and_those_waiting_are_still_delivered():
     full = (Trouble(kind="disk_full", at=6.0, seconds=3.0, senders=(0,)),)
-    _, _, seen = played(Scenario(seconds=20.0, senders=1, troubles=TWO_DOWN + full), 4)
-    assert seen.kept and not any(map(len, seen.stores))
+    _, _, stores = played(Scenario(seconds=20.0, senders=1, troubles=TWO_DOWN + full), 4)
+    assert stores.kept and not any(map(len, stores.stores))
 
 
-def test_a_short_expiry_on_disk_is_answered_in_its_time_among_long_ones():
+def test_a_document_with_a_short_expiry_ends_in_time_among_ones_with_a_long_expiry():
     types = (
         DocumentType(name="long", effect="replayable", share=1.0, expiry_ms=60000.0),
         DocumentType(name="brief", effect="binding", share=1.0, agreed_ms=500.0, expiry_ms=1000.0),
     )
-    _, result, seen = played(Scenario(seconds=16.0, senders=1, types=types, troubles=TWO_DOWN), 2)
-    assert seen.kept and result.figures["notice bounced"] > 10  # the judge minds their time
+    _, result, stores = played(Scenario(seconds=16.0, senders=1, types=types, troubles=TWO_DOWN), 2)
+    assert stores.kept and result.figures["notice bounced"] > 10  # the judge checks that they come in time
 
 
 # Real processes
@@ -121,7 +124,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
-def test_a_line_on_disk_outlasts_the_process_and_is_delivered_in_order(tmp_path, number):
+def test_a_backlog_survives_the_process_and_is_delivered_in_order(tmp_path, number):
     async def story(world):
         world.answers = [answer(429, X_Come_Back_Ms="2500")]
         first, second = ([f"{part}{at}" for at in range(40)] for part in "ab")
@@ -130,7 +133,7 @@
         await world.kill(number)
         await world.start()
         await hand_in(world, second)
-        await hand_in(world, first[20:30])  # they come again, and wait on disk
+        await hand_in(world, first[20:30])  # submitted again while they wait on disk
         assert await world.until(lambda: len(world.calls) >= 81, 12.0)
         assert [doc for doc, *_ in world.calls] == ["a0", *first, *second] and not world.notices
         assert await world.until(lambda: not segments(world))
@@ -150,12 +153,12 @@
         ended = lambda: {doc for doc, *_ in world.calls} | {each["ref"] for each in world.notices}  # noqa: E731
         assert await world.until(lambda: ended() == {*names}, 12.0)
         called = [doc for doc, *_ in world.calls]
-        assert sum(called.count(name) > 1 for name in names) <= 1  # the one that was told to wait
+        assert sum(called.count(name) > 1 for name in names) <= 1  # the first one, which was told to wait
 
     play(tmp_path, story)
 
 
-def test_switched_off_with_a_line_on_disk_it_does_not_start_and_loses_nothing(tmp_path):
+def test_a_sender_with_a_backlog_on_disk_refuses_to_start_with_the_backlog_disabled(tmp_path):
     async def story(world):
         world.answers = [answer(429, X_Come_Back_Ms="2500")]
         names = [f"d{at}" for at in range(20)]
@@ -172,9 +175,11 @@
     play(tmp_path, story)
 
 
-def test_of_three_senders_one_is_killed_and_starts_again_while_their_endpoint_returns(tmp_path):
-    """All have a line for one shared endpoint. Binding documents: a second call of one that may have run
-    would be a second effect."""
+def test_one_of_three_senders_is_restarted_while_their_shared_endpoint_returns(tmp_path):
+    """All three have a backlog for one shared endpoint.
+
+    The documents are binding: calling one again that may have run would cause a second effect.
+    """
     path = tmp_path / "backlog.toml"
     path.write_text(f"[backlog]\nwindow = 4\nbytes = {ROOM}\n")
 
@@ -197,7 +202,7 @@
                 assert await world.until(lambda world=world: world.watchers)
                 world.say(whole)
                 await hand_in(world, [f"{world.folder.name}-{at}" for at in range(20)], "pay", "x")
-            assert await first.until(lambda: len(first.calls) == 60)  # so its pace is known
+            assert await first.until(lambda: len(first.calls) == 60)  # so that its rate is known
             first.on_call = lambda: first.answers.append(answer(429, X_Come_Back_Ms="700"))
             names = {world: [f"{world.folder.name}{at}" for at in range(30)] for world in worlds}
             for world in worlds:
@@ -205,18 +210,19 @@
             assert first.calls and all(map(segments, worlds))
             await second.kill(signal.SIGKILL)
             await second.start()
-            shut, first.on_call = len(first.calls), lambda: None  # the endpoint is back: they drain
-            assert await first.until(lambda: len(first.calls) > shut + 20, 8.0)
+            # the endpoint is back: the backlogs drain
+            refused, first.on_call = len(first.calls), lambda: None
+            assert await first.until(lambda: len(first.calls) > refused + 20, 8.0)
             await second.kill(signal.SIGKILL)
             await second.start()
             owed = {doc for docs in names.values() for doc in docs}
 
             def ended():
-                called = {doc for doc, *_ in first.calls[shut:]}
+                called = {doc for doc, *_ in first.calls[refused:]}
                 return called | {each["ref"] for world in worlds for each in world.notices}
 
             assert await first.until(lambda: ended() == owed, 15.0)
-            served = [doc for doc, *_ in first.calls[shut:]]
+            served = [doc for doc, *_ in first.calls[refused:]]
             assert len(served) == len({*served}), "none is called again once it may have run"
             assert await first.until(lambda: not any(map(segments, worlds)))
             assert not first.notices and not third.notices
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -1,4 +1,4 @@
-"""The real sender on loopback sockets, with stand-ins for its endpoints, its platform and its clients."""
+"""A real sender process on loopback sockets, with fake endpoints, platform and clients."""
 
 import asyncio
 import contextlib
@@ -18,10 +18,10 @@
     asyncio.run(whole())
 
 
-# Taking on
+# Accepting documents
 
 
-def test_the_ledger_then_202_then_the_call(tmp_path):
+def test_the_ledger_is_written_before_the_202_and_the_call(tmp_path):
     async def story(world):
         seen = []
         world.on_call = lambda: seen.append(world.on_disk())
@@ -37,7 +37,7 @@
     play(tmp_path, story)
 
 
-def test_the_key_of_a_repeat_goes_with_each_transmission_also_after_a_restart(tmp_path):
+def test_the_idempotency_key_is_sent_with_each_transmission_even_after_a_restart(tmp_path):
     async def story(world):
         world.answers = [RESET, SILENT]
         assert (await world.hand_in("d1", more='Idempotency-Key: 3a7f "x"\r\nTenant: t\r\n'))[0] == 202
@@ -52,7 +52,7 @@
     play(tmp_path, story)
 
 
-def test_no_time_left_is_refused_within_the_turn(tmp_path):
+def test_a_document_without_time_left_is_rejected_in_the_same_turn(tmp_path):
     async def story(world):
         status, fields = await world.hand_in(left=0)
         assert (status, fields["retry-after"]) == (429, "3") and not world.calls
@@ -60,7 +60,7 @@
     play(tmp_path, story)
 
 
-def test_the_time_counts_from_the_clients_sending(tmp_path):
+def test_the_time_out_counts_from_when_the_client_sent_the_request(tmp_path):
     async def story(world):
         world.answers = [SILENT]
         world.process.send_signal(signal.SIGSTOP)
@@ -74,7 +74,7 @@
     play(tmp_path, story)
 
 
-def test_a_client_gone_before_202_has_withdrawn(tmp_path):
+def test_a_document_is_dropped_if_its_client_is_gone_before_the_202(tmp_path):
     async def story(world):
         world.process.send_signal(signal.SIGSTOP)
         _, writer = await world.client()
@@ -82,7 +82,7 @@
         await writer.drain()
         writer.close()
         _, waits = await world.client()
-        waits.write(post("late"))  # still there, after longer than a client waits
+        waits.write(post("late"))  # still connected, but longer than a client waits
         await asyncio.sleep(0.5)
         world.process.send_signal(signal.SIGCONT)
         assert (await world.hand_in("d2"))[0] == 202
@@ -93,13 +93,13 @@
     play(tmp_path, story)
 
 
-def test_an_id_that_comes_again_is_answered_again_and_not_taken_twice(tmp_path):
+def test_a_repeated_id_gets_the_same_answer_and_is_not_accepted_twice(tmp_path):
     async def story(world):
         world.answers = [[b"HTTP/1.1 200 OK\r\n", b"Content-Length: 0\r\n\r\n"]]
         assert [(await world.hand_in("d1"))[0] for _ in range(3)] == [202, 202, 202]
         assert (await world.hand_in("d0", left=0))[0] == (await world.hand_in("d0", left=900))[0] == 429
         reader, writer = await world.client()
-        writer.write(post("d4") * 2)  # and in one turn
+        writer.write(post("d4") * 2)  # both in one turn
         assert [(await read_message(reader))[0][9:12] for _ in range(2)] == ["202", "202"]
         await asyncio.sleep(0.3)
         assert sorted(call[0] for call in world.calls) == ["d1", "d4"]
@@ -137,7 +137,7 @@
         b"DELETE /up HTTP/1.1\r\nHost: a\r\n\r\n",
     ],
 )
-def test_a_bad_request_is_told_at_once_and_closed_and_never_taken_on(tmp_path, bad):
+def test_a_bad_request_is_answered_at_once_and_closed_and_never_accepted(tmp_path, bad):
     async def story(world):
         reader, writer = await world.client()
         writer.write(bad)
@@ -155,7 +155,7 @@
         (b"GET /up HTTP/1.1\r\nX: " + b"y" * 20000, "431"),
     ],
 )
-def test_what_is_no_request_is_answered_and_closed_cleanly(tmp_path, bad, status):
+def test_an_invalid_request_is_answered_and_the_connection_closed_without_a_reset(tmp_path, bad, status):
     async def story(world):
         reader, writer = await world.client()
         writer.write(bad)
@@ -165,7 +165,7 @@
     play(tmp_path, story)
 
 
-def test_a_request_in_pieces_and_one_that_asks_to_go_on(tmp_path):
+def test_a_request_in_pieces_with_expect_100_continue(tmp_path):
     async def story(world):
         reader, writer = await world.client()
         text = post("d1", body=b"x" * 9000, more="Expect: 100-continue\r\n")
@@ -178,21 +178,21 @@
     play(tmp_path, story)
 
 
-def test_clients_beyond_the_limit_are_answered_and_the_rest_go_on(tmp_path):
+def test_clients_beyond_the_limit_are_refused_or_replace_silent_ones(tmp_path):
     async def story(world):
-        idle = [await world.client() for _ in range(50)]  # at most 40 are kept
+        idle = [await world.client() for _ in range(50)]  # at most 40 are accepted
         assert (await world.hand_in("d1"))[0] == 202
-        assert await idle[0][0].read() == b""  # the longest silent one made room
+        assert await idle[0][0].read() == b""  # closed to make room: silent for the longest time
         halves = [await world.client() for _ in range(41)]
         for _, writer in halves:
             writer.write(post("half")[:-2])
         await asyncio.sleep(0.1)
-        assert (await world.hand_in("d2"))[0] == 503  # all the others are at work: a clean answer
+        assert (await world.hand_in("d2"))[0] == 503  # all others have a live request
 
     play(tmp_path, story, sockets=100)
 
 
-def test_a_reader_so_slow_that_answers_pile_up_is_let_go(tmp_path):
+def test_a_client_that_does_not_read_its_answers_is_closed(tmp_path):
     async def story(world):
         reader, writer = await world.client()
         with pytest.raises((ConnectionError, asyncio.TimeoutError)):
@@ -207,8 +207,10 @@
 def test_a_body_that_does_not_fit_on_the_disk_is_refused(tmp_path):
     async def story(world):
         world.answers = [SILENT] * 9
-        said = [(await world.hand_in(f"d{number}", body=b"x" * 65536, left=9000))[0] for number in range(8)]
-        assert said[0] == 202 and said[-1] == 503 and 1 <= said.count(202) <= 6
+        statuses = [
+            (await world.hand_in(f"d{number}", body=b"x" * 65536, left=9000))[0] for number in range(8)
+        ]
+        assert statuses[0] == 202 and statuses[-1] == 503 and 1 <= statuses.count(202) <= 6
 
     play(tmp_path, story, disk_mb=0.6)
 
@@ -222,20 +224,20 @@
         [bytes([each]) for each in post()],
     ],
 )
-def test_who_is_silent_or_does_not_come_to_an_end_is_let_go_in_three_seconds(tmp_path, pieces):
+def test_a_silent_or_incomplete_request_is_closed_within_three_seconds(tmp_path, pieces):
     async def story(world):
         reader, writer = await world.client()
-        began, said = time.monotonic(), asyncio.ensure_future(reader.read())
-        while not said.done():  # a trickle does not put it off
+        began, reply = time.monotonic(), asyncio.ensure_future(reader.read())
+        while not reply.done():  # bytes that trickle in do not extend the time-out
             with contextlib.suppress(ConnectionError):
                 writer.write(pieces.pop(0) if pieces else b"")
             await asyncio.sleep(0.1)
-        assert 1.5 < time.monotonic() - began < 2.9 and (await said)[9:12] in (b"", b"408")
+        assert 1.5 < time.monotonic() - began < 2.9 and (await reply)[9:12] in (b"", b"408")
 
     play(tmp_path, story)
 
 
-def test_one_that_asked_and_lies_idle_is_let_go_later_and_nothing_is_left_of_it(tmp_path):
+def test_a_connection_idle_after_a_request_is_closed_after_the_idle_time_out(tmp_path):
     async def story(world):
         reader, writer = await world.client()
         began = time.monotonic()
@@ -246,7 +248,7 @@
     play(tmp_path, story)
 
 
-def test_sixty_megabytes_are_refused_at_the_head(tmp_path):
+def test_a_body_of_sixty_megabytes_is_refused_at_the_head(tmp_path):
     async def story(world):
         reader, writer = await world.client()
         writer.write(post().replace(b"Content-Length: 5", b"Content-Length: 60000000"))
@@ -261,12 +263,12 @@
     play(tmp_path, story)
 
 
-def test_a_flood_on_one_connection_is_cut_and_the_id_of_an_open_request_is_not_taken_again(tmp_path):
+def test_pipelined_requests_are_limited_and_the_id_of_a_held_document_is_not_accepted_again(tmp_path):
     async def story(world):
         reader, writer = await world.client()
         writer.write(b"".join(post(f"f{number}") for number in range(300)))
-        said = (await asyncio.wait_for(reader.read(), 2.0)).count(b" 202 ")
-        assert 0 < said <= 8 and (await world.hand_in("d1"))[0] == 202
+        accepted = (await asyncio.wait_for(reader.read(), 2.0)).count(b" 202 ")
+        assert 0 < accepted <= 8 and (await world.hand_in("d1"))[0] == 202
         await world.hand_in("d1", "sync", body=b"")
         assert await world.until(lambda: ("d1", b"hello") in [call[:2] for call in world.calls])
         assert world.on_disk().count('["take","d1"') == 1
@@ -278,7 +280,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, kind, calls, result",
+    "answered, kind, calls, result",
     [
         (answer(500), "sync", 2, None),
         (answer(500), "pay", 1, "dead"),
@@ -296,22 +298,22 @@
         (OK_200 * 2, "pay", 1, None),
     ],
 )
-def test_what_follows_from_an_answer(tmp_path, said, kind, calls, result):
+def test_what_the_sender_does_after_each_kind_of_answer(tmp_path, answered, kind, calls, result):
     async def story(world):
-        world.answers = [said]
+        world.answers = [answered]
         assert (await world.hand_in("d1", kind))[0] == 202
         began = time.monotonic()
         assert await world.until(lambda: '["done","d1"' in world.on_disk())
         assert len(world.calls) == calls and world.most_out == 1
         assert [each["result"] for each in world.notices] == ([result] if result else [])
-        if b"Come-Back" in (said if isinstance(said, bytes) else b""):
+        if b"Come-Back" in (answered if isinstance(answered, bytes) else b""):
             assert time.monotonic() - began >= 0.25
         assert (await world.hand_in("d2"))[0] == 202 and await world.until(lambda: world.calls[-1][0] == "d2")
 
     play(tmp_path, story)
 
 
-def test_an_early_answer_to_a_call_half_read(tmp_path):
+def test_an_answer_sent_before_the_request_was_read(tmp_path):
     async def story(world):
         async def early(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -328,14 +330,14 @@
         world.say({"rev": 8, "all": False, "targets": [world.entry(place=where)]})
         await asyncio.sleep(0.1)
         assert (await world.hand_in("d1", "pay", body=b"x" * 65536, left=9000))[0] == 202
-        assert await world.until(lambda: world.notices, within=8.0)  # a reset: in doubt
+        assert await world.until(lambda: world.notices, within=8.0)  # a reset leaves the call in doubt
         assert world.early == 2 and world.notices == [{"ref": "d1", "result": "dead"}]
         server.close()
 
     play(tmp_path, story)
 
 
-def test_patience_over_closes_the_connection_and_repeats_only_what_may_be(tmp_path):
+def test_a_time_out_closes_the_connection_and_repeats_nothing_past_its_expiry(tmp_path):
     async def story(world):
         world.answers = [SILENT, SILENT]
         assert (await world.hand_in("d1", "pay", left=700))[0] == 202
@@ -349,14 +351,14 @@
 
 
 @pytest.mark.parametrize("kind", ["sync", "pay"])
-def test_what_cannot_connect_never_ran_and_goes_on(tmp_path, kind):
+def test_a_failed_dial_proves_that_nothing_ran_and_the_document_is_tried_again(tmp_path, kind):
     async def story(world):
         await world.until(lambda: world.watchers)
         world.say({"rev": 8, "all": False, "targets": [world.entry(place=f"127.0.0.1:{free_port()}")]})
         await asyncio.sleep(0.1)
         assert (await world.hand_in("d1", kind))[0] == 202
-        assert await world.until(lambda: '["kept","d1",1]' in world.on_disk())  # one failed, and goes on:
-        assert not world.calls and '["call","d1"' not in world.on_disk()  # no call left, none is in doubt
+        assert await world.until(lambda: '["kept","d1",1]' in world.on_disk())  # one dial has failed
+        assert not world.calls and '["call","d1"' not in world.on_disk()  # no call was written: no doubt
         assert not world.notices
         world.say({"rev": 9, "all": False, "targets": [world.entry()]})
         assert await world.until(lambda: world.calls)
@@ -364,7 +366,7 @@
     play(tmp_path, story)
 
 
-def test_an_idle_connection_is_used_again_and_not_once_the_endpoint_closed_it(tmp_path):
+def test_an_idle_connection_is_reused_unless_the_endpoint_closed_it(tmp_path):
     async def story(world):
         closing = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         world.answers = [OK_200, OK_200, closing]
@@ -380,7 +382,7 @@
 # Ends and restarts
 
 
-def test_a_notice_is_sent_again_until_it_is_known(tmp_path):
+def test_a_notice_is_repeated_until_the_platform_acknowledges_it(tmp_path):
     async def story(world):
         world.answers, world.status = [answer(500)], [503, 503, 204]
         await world.hand_in("d1", "pay")
@@ -391,13 +393,13 @@
     play(tmp_path, story)
 
 
-def test_after_a_kill_all_that_is_owed_comes_back_with_its_doubt(tmp_path):
+def test_held_documents_and_calls_in_doubt_are_recovered_after_a_kill(tmp_path):
     async def story(world):
         world.answers = [SILENT, SILENT, RESET]
         for doc_id, kind in (("out", "pay"), ("again", "sync"), ("gone", "sync")):
             await world.hand_in(doc_id, kind, left=900 if doc_id == "gone" else 9000)
         assert await world.until(lambda: len(world.calls) == 3)
-        world.status = 503  # one more ends, and nobody hears of it before the kill
+        world.status = 503  # a document ends, and its notice is not taken before the kill
         await world.kill(signal.SIGKILL)
         world.status, world.answers = 204, []
         await asyncio.sleep(0.9)
@@ -413,7 +415,7 @@
     play(tmp_path, story)
 
 
-def test_a_notice_that_was_owed_is_sent_after_a_kill(tmp_path):
+def test_a_pending_notice_is_sent_after_a_kill(tmp_path):
     async def story(world):
         world.answers, world.status = [answer(500)], 503
         await world.hand_in("d1", "pay")
@@ -427,7 +429,7 @@
     play(tmp_path, story)
 
 
-def test_sigterm_takes_no_more_finishes_what_it_can_and_leaves_the_rest(tmp_path):
+def test_sigterm_accepts_nothing_new_finishes_what_it_can_and_leaves_the_rest_in_the_ledger(tmp_path):
     async def story(world):
         world.answers = [[b"HTTP/1.1 200 OK\r\n"] + [b""] * 20 + [b"Content-Length: 0\r\n\r\n"], SILENT]
         idle, busy = await world.client(), await world.client()
@@ -440,7 +442,7 @@
         assert (await read_message(idle[0]))[0][9:12] == "200"
         began = time.monotonic()
         world.process.send_signal(signal.SIGTERM)
-        assert await idle[0].read() == b""  # an idle one is let go
+        assert await idle[0].read() == b""  # the idle connection is closed
         status, fields = await world.hand_in("late")
         assert (status, fields["connection"], fields["retry-after"]) == (503, "close", "3")
         busy[1].write(b"lo")
@@ -456,20 +458,20 @@
 # Discovery
 
 
-def test_the_watch_goes_on_from_what_is_known_and_an_address_may_change(tmp_path):
+def test_the_watch_continues_from_the_known_version_and_an_address_may_change(tmp_path):
     async def story(world):
         assert await world.until(lambda: world.asked)
         assert world.asked == ["GET /discovery/hosts?watch=1&after=7 HTTP/1.1"]
         await world.hand_in("d1")
         assert await world.until(lambda: world.calls)
         world.say("")
-        world.say("junk")  # not a list: asked again, and what was listed stays
+        world.say("junk")  # not a list: watched again, and the old list stays
         assert await world.until(lambda: len(world.asked) == 2)
         await world.hand_in("d2")
         assert await world.until(lambda: len(world.calls) == 2) and world.connections == 1
         world.say({"rev": 9, "all": False, "targets": [world.entry("leaving")]})
         await asyncio.sleep(0.1)
-        assert (await world.hand_in("d3"))[0] == 429  # nothing new to one that is leaving: come back later
+        assert (await world.hand_in("d3"))[0] == 429  # a draining endpoint gets no new document
         await asyncio.sleep(0.2)
         assert len(world.calls) == 2
         world.say({"rev": 10, "all": True, "targets": [world.entry(uid="s-2")]})
@@ -482,19 +484,19 @@
     play(tmp_path, story)
 
 
-def test_sighup_moves_watch_and_notices_at_once_and_what_is_held_stays(tmp_path):
+def test_sighup_moves_watch_and_notices_at_once_and_keeps_held_documents(tmp_path):
     async def story(world):
         world.answers = [[b"HTTP/1.1 500 No\r\n"] + [b""] * 20 + [b"Content-Length: 0\r\n\r\n"], OK_200]
         reader, writer = await world.client()
         writer.write(post("d1", "pay"))
         assert (await read_message(reader))[0][9:12] == "202" and await world.until(lambda: world.calls)
-        world.agent = await world.moved()  # the environment still names the old address
+        world.agent = await world.moved()  # the environment variable still has the old address
         world.configured()
         world.process.send_signal(signal.SIGHUP)
         assert await world.until(lambda: len(world.asked) == 2, within=0.3)
         assert world.asked[1] == "GET /discovery/hosts?watch=1&after=7 HTTP/1.1"
         assert await world.until(lambda: world.notices == [{"ref": "d1", "result": "dead"}])
-        writer.write(post("d2"))  # over the same connections, to client and endpoint
+        writer.write(post("d2"))  # over the same connections to client and endpoint
         assert (await read_message(reader))[0][9:12] == "202"
         assert await world.until(lambda: len(world.calls) == 2) and world.connections == 1
 
@@ -518,14 +520,14 @@
     play(tmp_path, story)
 
 
-def test_a_silent_agent_is_asked_again(tmp_path):
+def test_a_silent_discovery_agent_is_asked_again(tmp_path):
     async def story(world):
         assert await world.until(lambda: len(world.asked) == 2, within=8.0)
 
     play(tmp_path, story)
 
 
-def test_an_empty_start_learns_from_the_watch(tmp_path):
+def test_a_start_without_a_known_list_gets_it_from_the_watch(tmp_path):
     async def story(world):
         await world.hand_in("d1")
         await world.until(lambda: world.watchers)
@@ -554,30 +556,30 @@
 }
 
 
-def test_a_switch_of_settings_and_back_under_load_loses_nothing_and_sends_nothing_twice(tmp_path):
+def test_settings_changed_back_and_forth_under_load_lose_nothing_and_send_nothing_twice(tmp_path):
     async def story(world):
         world.answers = [[b"HTTP/1.1 200 OK\r\n", b"", b"", b"", b"Content-Length: 0\r\n\r\n"]] * 60
         world.lines = [{"rev": 8, "all": True, "targets": [world.entry()]}]
-        handed, most = [], {}
+        submitted, most = [], {}
         for stage, changes in enumerate([{}, SWITCH, {}, SWITCH, {}]):
             world.configured(**changes)
-            world.process.send_signal(signal.SIGHUP)  # with calls out and documents in line
+            world.process.send_signal(signal.SIGHUP)  # with calls in flight and documents queued
             if stage % 2:
                 assert await world.until(lambda: world.out == 0)
                 world.most_out = 0
                 assert (await world.hand_in(f"turn{stage}", "turn"))[0] == 202
-                handed.append(f"turn{stage}")
-                assert await world.until(lambda name=handed[-1]: name in [doc for doc, *_ in world.calls])
+                submitted.append(f"turn{stage}")
+                assert await world.until(lambda name=submitted[-1]: name in [doc for doc, *_ in world.calls])
                 assert await world.until(lambda: world.out == 0)
             for number in range(8):
-                handed.append(f"d{stage}-{number}")
-                assert (await world.hand_in(handed[-1], "pay" if number % 2 else "sync"))[0] == 202
+                submitted.append(f"d{stage}-{number}")
+                assert (await world.hand_in(submitted[-1], "pay" if number % 2 else "sync"))[0] == 202
             most[stage] = world.most_out
-        assert await world.until(lambda: len(world.calls) == len(handed))
+        assert await world.until(lambda: len(world.calls) == len(submitted))
         await asyncio.sleep(0.3)
-        assert sorted(doc for doc, *_ in world.calls) == sorted(handed) and not world.notices
+        assert sorted(doc for doc, *_ in world.calls) == sorted(submitted) and not world.notices
         assert most[1] <= 2 and most[3] <= 2
-        assert (await world.hand_in("t9", "turn"))[0] == 404  # back: the type is not known again
+        assert (await world.hand_in("t9", "turn"))[0] == 404  # the old settings again: the type is unknown
 
     play(tmp_path, story)
 
@@ -597,7 +599,7 @@
         ("settings.hostTypes", {"settings__hostTypes": ["hall", "shop"]}),
     ],
 )
-def test_a_switch_that_does_not_fit_names_its_key_and_changes_nothing(tmp_path, key, changes):
+def test_settings_that_do_not_fit_held_documents_name_the_key_and_change_nothing(tmp_path, key, changes):
     async def story(world):
         world.answers = [SILENT]
         assert (await world.hand_in("d1", "pay"))[0] == 202 and await world.until(lambda: world.calls)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What is read at the start, what is logged, and what must hold."""
+"""The configuration, the mapping of endpoints' responses, the log format and checked invariants."""
 
 import logging
 import os
@@ -40,7 +40,7 @@
         ("settings__domain__callsOut", "6"),
     ],
 )
-def test_a_faulty_key_is_named(tmp_path, path, value):
+def test_an_error_names_the_invalid_key(tmp_path, path, value):
     with pytest.raises(ConfigError, match=path.split("__")[-1]):
         decode(config(tmp_path, **{path: value}), {})
 
@@ -64,12 +64,12 @@
         ("hostTypes", "shop"),
     ],
 )
-def test_settings_that_sockets_cannot_carry_or_that_do_not_fit_are_refused_by_key(tmp_path, path, value):
+def test_unsupported_or_invalid_settings_are_refused_and_named(tmp_path, path, value):
     with pytest.raises(ConfigError, match="settings." + path.replace("__", ".")):
         decode(config(tmp_path, **{f"settings__{path}": value}), {})
 
 
-def test_what_the_decisions_read_comes_from_the_file_with_todays_defaults(tmp_path):
+def test_settings_of_the_decision_logic_are_read_from_the_file_or_have_defaults(tmp_path):
     told = decode(config(tmp_path), {}).settings
     assert not told.notes and told.routes_apart == (False,) and not told.key_rest_ms
     assert not told.list_on_request and not told.rates_listed
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("environment", [{}, {"BALANCER_CONFIG": "/not/there"}])
-def test_without_its_file_the_variable_is_named(environment):
+def test_an_unset_or_unreadable_file_names_the_environment_variable(environment):
     with pytest.raises(ConfigError, match="BALANCER_CONFIG"):
         load(environment)
 
@@ -108,7 +108,7 @@
         (400, {}, ("error", False, 0.0)),
     ],
 )
-def test_the_table_of_outcomes(status, fields, outcome):
+def test_how_responses_map_to_outcomes(status, fields, outcome):
     assert kind_of(Response(status, fields, True)) == outcome
 
 
@@ -125,11 +125,11 @@
         ("TEXT x0=0.4, x1=99999999999999", (None, None)),
     ],
 )
-def test_reports(text, report):
+def test_load_reports(text, report):
     assert report_of(Response(200, {"server-load": text} if text else {}, True)) == report
 
 
-def test_a_line_of_the_list():
+def test_an_entry_of_the_endpoint_list():
     line = {
         "uid": "s-1",
         "endpoint": "10.1.0.18:5000",
@@ -145,14 +145,14 @@
     assert where == ("10.1.0.18", 5000)
 
 
-def test_lines_of_the_log_are_key_value_and_quoted():
+def test_log_lines_are_quoted_key_value_pairs():
     record = logging.LogRecord("birchstack.net.calls", logging.INFO, "", 0, 'a "b"', (), None)
     record.words = {"doc": "d=1", "ms": 1.25, "n": 3, "line": "x\ny"}
     line = log.KeyValue().format(record)
     assert line.endswith('level=info part=calls event="a \\"b\\"" doc="d=1" ms=1.2 n=3 line="x\\ny"')
 
 
-def test_a_log_that_nobody_reads_does_not_block():
+def test_a_log_that_is_not_read_does_not_block():
     reader, writer = os.pipe()
     handler = log.Unblocked(writer)
     for _ in range(3000):
@@ -163,7 +163,7 @@
     os.close(writer)
 
 
-def test_what_must_hold_is_asserted_in_debug_and_counted_in_release(monkeypatch):
+def test_invariants_are_asserted_in_debug_builds_and_counted_in_release_builds(monkeypatch):
     with pytest.raises(AssertionError, match="so it is"):
         log.holds(False, "so it is")
     assert log.holds(1, "so it is") and log.broken["so it is"] == 1
