--- a/benchmarks/capacity/audit.py
+++ b/benchmarks/capacity/audit.py
@@ -47,15 +47,17 @@
         self.audit = FleetAuditLog(
             fleet, config, machine, machine.folder(folder), lambda: SenderStatus(True, 100, 900.0), print
         )
-        self.audit.begins(True)
-        self.audit.settings(config, "start")
-        self.audit.told({"rev": 1, "all": True, "targets": [site.entry("s-5be2a07c", 1)]}, "127.0.0.1:8500")
+        self.audit.start(True)
+        self.audit.record_settings(config, "start")
+        self.audit.record_list(
+            {"rev": 1, "all": True, "targets": [site.entry("s-5be2a07c", 1)]}, "127.0.0.1:8500"
+        )
         self.taken, self.wire_bytes, self.records = 0, 0, 0
 
     def asked(self) -> None:
         """A keeper asks until it has all."""
         request = http1.request("GET", wire.target(self.taken), "127.0.0.1:7401")
-        answer = self.audit.asked({"after": [str(self.taken)]}, b"")
+        answer = self.audit.answer_keeper({"after": [str(self.taken)]}, b"")
         piece = wire.decode(answer.content)
         frames = [each for each in scan(piece.frames) if not isinstance(each, Damage)]
         self.wire_bytes += len(request) + len(answer.bytes())
@@ -79,12 +81,12 @@
                     for at in range(min(together, per_second - first))
                 ]
                 began = time.process_time()
-                sender.audit.turn(calls, [], [])
+                sender.audit.record_turn(calls, [], [])
                 spent_s += time.process_time() - began
                 turns += 1
                 trail += len(before.segments[-1].data) - before.segments[-1].offsets[-1]
             sender.asked()
-        sender.audit.ended()
+        sender.audit.stop()
         if sender.records < turns:
             raise ValueError(f"{sender.records} records came of {turns} turns")
         per_s = trail / seconds
--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -19,7 +19,7 @@
 from birchstack.emulator.clock import Clock, ProcessLoop
 from birchstack.emulator.folder import Disk, MemoryFolder
 from birchstack.net import http1
-from birchstack.net.calls import Calls, Line
+from birchstack.net.calls import Calls, EndpointConnection
 from birchstack.net.config import decode
 from birchstack.net.machine import Machine
 from birchstack.net.sender import Node
@@ -231,10 +231,10 @@
     type, key, repeat_key, tenant, body = "sync", None, None, None, stand.BODY
 
     def __init__(self, doc_id: str, destination: int) -> None:
-        self.id, self.destination, self.left_ms, self.again = doc_id, destination, 1.5 * DAY_MS, []
+        self.id, self.destination, self.left_ms, self.duplicates = doc_id, destination, 1.5 * DAY_MS, []
         self.verdict: str | None = None
 
-    def told(self) -> tuple[float, bool]:
+    def age_and_gone(self) -> tuple[float, bool]:
         return 0.0, False
 
     def reply(self, verdict: str, wait_ms: float = 0.0, close: bool = False) -> None:
@@ -315,8 +315,8 @@
     loop = Loop()
     calls = Calls(loop, lambda: 0.0, 1e4, 1e3, 10 * idle, print, print, print)
     for at in range(idle):
-        calls._idle[Line(calls, f"s-{at}", ("127.0.0.1", 3))] = None
-    return lambda: calls._newest("another")
+        calls._idle[EndpointConnection(calls, f"s-{at}", ("127.0.0.1", 3))] = None
+    return lambda: calls._take_idle("another")
 
 
 class CountedBytes(bytearray):
@@ -332,7 +332,7 @@
     text = stand.text(9, True, stand.whole_list(listed, 1, ["127.0.7.1:23000"]))
     told = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(text), text)
     watch = node._watch
-    watch._reader = http1.Responses(max_body=None)
+    watch._reader = http1.ResponseReader(max_body=None)
     watch._held = CountedBytes() if work.Counted.on else bytearray()
 
     def act() -> None:
--- a/benchmarks/restart_ready.py
+++ b/benchmarks/restart_ready.py
@@ -304,7 +304,7 @@
     discovery.Watch.first = clock("first list", discovery.Watch.first, waits=True)
     sender.Node._recover = clock("take up", sender.Node._recover)
     sender.Node._turn = clock("first turns", sender.Node._turn)
-    front.Front.open = clock("door", front.Front.open, waits=True)
+    front.ClientServer.open = clock("door", front.ClientServer.open, waits=True)
 
     async def start():
         node = sender.Node(config.load(), asyncio.get_running_loop(), machine.Machine())
--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -9,14 +9,14 @@
 
 from birchstack import backlog
 from birchstack.net import log
-from birchstack.net.audit import MakeAuditLog
+from birchstack.net.audit import AuditLogFactory
 from birchstack.net.config import Config, ConfigError, load
 from birchstack.net.machine import Machine
-from birchstack.net.overflow import Make as MakeStore
+from birchstack.net.overflow import StoreFactory
 from birchstack.net.sender import Node
 
 
-def _audit_log(config: Config) -> tuple[Config, MakeAuditLog | None]:
+def _audit_log(config: Config) -> tuple[Config, AuditLogFactory | None]:
     """Loads the audit log if BALANCER_FLEET enables it, and reserves its share of the configured limits.
 
     Its dependencies are optional (the extra `fleet`), so they are imported only then.
@@ -32,7 +32,7 @@
     return settings.room_for(fleet, config), audit_log.maker(fleet)
 
 
-def _store(config: Config) -> tuple[Config, MakeStore | None]:
+def _store(config: Config) -> tuple[Config, StoreFactory | None]:
     """Loads the backlog on disk if BALANCER_BACKLOG enables it, and reserves its file descriptors."""
     path = os.environ.get("BALANCER_BACKLOG")
     if not path:
@@ -49,7 +49,7 @@
     return dataclasses.replace(config, sockets=sockets), maker.maker(settings.load(path))
 
 
-async def _serve(config: Config, audit: MakeAuditLog | None, store: MakeStore | None) -> None:
+async def _serve(config: Config, audit: AuditLogFactory | None, store: StoreFactory | None) -> None:
     node = Node(config, asyncio.get_running_loop(), audit=audit, store=store)
     await node.start()
     gc.collect()
--- a/birchstack/emulator/network.py
+++ b/birchstack/emulator/network.py
@@ -210,10 +210,10 @@
         self._reset = self._reset or reset
         self._soon()
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         return len(self._kernel)
 
-    def told(self) -> tuple[float, bool]:
+    def receive_state(self) -> tuple[float, bool]:
         return (self._loop.time() - self._heard_at) * 1000.0, self.fin_came or self._reset
 
     def _soon(self) -> None:
--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -23,7 +23,7 @@
 from birchstack.net import log as sender_log
 from birchstack.net.config import decode
 from birchstack.net.machine import Machine
-from birchstack.net.overflow import Make
+from birchstack.net.overflow import StoreFactory
 from birchstack.net.sender import Node
 
 CLOSE_MS = 3700.0  # SIGKILL comes so long after SIGTERM
@@ -236,7 +236,7 @@
     documents on each sender's disk, if anything does."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, keep_log: bool = False, store: Make | None = None
+        self, scenario: Scenario, seed: int, keep_log: bool = False, store: StoreFactory | None = None
     ) -> None:
         self.scenario, self.seed, self.store = scenario, seed, store
         self.clock = Clock()
--- a/birchstack/fleet/audit_log.py
+++ b/birchstack/fleet/audit_log.py
@@ -37,7 +37,7 @@
     judge_list,
 )
 from birchstack.interface import SignalKind
-from birchstack.net.audit import MakeAuditLog, Reported, SenderStatus
+from birchstack.net.audit import AuditLogFactory, ReportSignals, SenderStatus
 from birchstack.net.config import Config
 from birchstack.net.log import say
 from birchstack.net.machine import Folder, Machine
@@ -68,7 +68,7 @@
         machine: Machine,
         folder: Folder,
         status: Callable[[], SenderStatus],
-        reported: Reported,
+        reported: ReportSignals,
     ) -> None:
         self._told, self._config, self._machine = told, config, machine
         self._folder, self._status = folder, status
@@ -85,7 +85,7 @@
 
     # What the sender tells
 
-    def begins(self, holds: bool) -> None:
+    def start(self, holds: bool) -> None:
         if holds:
             self._files = AuditFiles(self._folder, self._told.trail.bytes, self._machine.unique)
             now, wall = self._machine.steady_ms(), self._machine.wall_ms()
@@ -111,7 +111,7 @@
         elif taken:
             self._waiting[version.kind] = record
 
-    def settings(self, config: Config, source: str) -> None:
+    def record_settings(self, config: Config, source: str) -> None:
         words = {
             name: value
             for name, value in dataclasses.asdict(config).items()
@@ -123,7 +123,7 @@
         if order != SAME:
             self._adopt(version, order, source)
 
-    def told(self, told: dict, source: str) -> bool:
+    def record_list(self, told: dict, source: str) -> bool:
         contents = Contents() if told.get("all") else self._contents.copy()
         contents.apply(bool(told.get("all")), told["targets"])
         version = Version(LIST, source, str(told.get("epoch") or ""), told["rev"], contents.digest())
@@ -156,7 +156,7 @@
             )
         return verdict.take
 
-    def turn(self, calls: list[tuple[str, str]], refused: list[str], failed: list[str]) -> None:
+    def record_turn(self, calls: list[tuple[str, str]], refused: list[str], failed: list[str]) -> None:
         if self._files is None:  # a process that waits begins no call
             self._refused += len(refused) + len(failed)
             return
@@ -167,10 +167,10 @@
         if self._signalling:
             self._signalling.observed(endpoint, kind, wait_ms)
 
-    def linked(self) -> bool | None:
+    def signals_live(self) -> bool | None:
         return self._signalling.live() if self._signalling else None
 
-    def ended(self) -> None:
+    def stop(self) -> None:
         if self._files:
             now = self._machine.steady_ms()
             self._files.write(Ended(now), now)
@@ -195,7 +195,7 @@
         not listed would be lost."""
         return self._signalling.answer(body) if self._signalling and status.ready else b""
 
-    def asked(self, query: dict[str, list[str]], body: bytes) -> Answer:
+    def answer_keeper(self, query: dict[str, list[str]], body: bytes) -> Answer:
         try:
             after, most = (
                 int(query[name][0]) if name in query else usual
@@ -237,6 +237,6 @@
         return Answer(True, content=wire.encode(piece))
 
 
-def maker(told: Fleet) -> MakeAuditLog:
+def maker(told: Fleet) -> AuditLogFactory:
     """For net.sender.Node."""
     return partial(FleetAuditLog, told)
--- a/birchstack/keeper/asking.py
+++ b/birchstack/keeper/asking.py
@@ -32,7 +32,7 @@
     ) -> None:
         self._loop, self._where, self._after, self._told = loop, where, after, told
         self._question = question
-        self._reader, self._body = http1.Responses(max_body=BODY), bytearray()
+        self._reader, self._body = http1.ResponseReader(max_body=BODY), bytearray()
         self._link: Link | None = None
         self._sent_at, self._status, self._over = 0.0, 0, False
         self._timer = loop.call_later(timeout_s, self._end, None, "no answer in time")
@@ -57,7 +57,7 @@
                 else:
                     self._end(wire.decode(self._body), "")
                     return
-        except (http1.Malformed, msgspec.DecodeError) as problem:
+        except (http1.MalformedError, msgspec.DecodeError) as problem:
             self._end(None, f"malformed: {problem}")
 
     def lost(self) -> None:
--- a/birchstack/keeper/config.py
+++ b/birchstack/keeper/config.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from birchstack.net.driver import address
+from birchstack.net.driver import parse_address
 
 Above = Annotated[float, Meta(gt=0.0)]
 Place = Annotated[str, Meta(min_length=3)]
@@ -75,7 +75,7 @@
 
 def _address(text: str, where: str) -> None:
     try:
-        address(text)
+        parse_address(text)
     except ValueError as problem:
         raise KeeperError(f"{where}: {problem}") from problem
 
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -22,7 +22,7 @@
 from birchstack.keeper.relay import Relay
 from birchstack.keeper.store import Store
 from birchstack.net.discovery import Watch
-from birchstack.net.driver import address
+from birchstack.net.driver import parse_address
 from birchstack.net.log import say
 from birchstack.net.machine import LastingClock, Machine
 
@@ -69,7 +69,7 @@
         self._held, self._states = self._store.newest()
         if self._told.lists:
             self._watch = Watch(
-                self._loop, address(self._told.lists.at), (), lambda mode, listed: None, self._listed
+                self._loop, parse_address(self._told.lists.at), (), lambda mode, listed: None, self._listed
             )
             self._watch.start({})
         say(log, "keeping", name=self._told.name, doors=len(self._doors), store=self._told.store)
@@ -106,7 +106,7 @@
                 self._counts["asked"] += 1
                 self._out[at] = Ask(
                     self._loop,
-                    address(at),
+                    parse_address(at),
                     self._store.wanted(at),
                     self._relay.question(at, self._machine.steady_ms()),
                     self._told.asks.timeout_s,
--- a/birchstack/net/audit.py
+++ b/birchstack/net/audit.py
@@ -29,36 +29,36 @@
 class AuditLog(Protocol):
     """Records what a sender acts on, before it does, and passes signals on where they are enabled."""
 
-    def begins(self, holds: bool) -> None:
+    def start(self, holds: bool) -> None:
         """The process starts; called before it acts, and again when it takes the folder over.
 
         holds: whether this process holds the folder.
         """
 
-    def settings(self, config: Config, source: str) -> None:
+    def record_settings(self, config: Config, source: str) -> None:
         """The settings are about to be applied."""
 
-    def told(self, told: dict, source: str) -> bool:
+    def record_list(self, told: dict, source: str) -> bool:
         """A valid list of endpoints, or a change to it, is about to be applied. False: keep the old list."""
 
-    def turn(self, calls: list[tuple[str, str]], refused: list[str], failed: list[str]) -> None:
+    def record_turn(self, calls: list[tuple[str, str]], refused: list[str], failed: list[str]) -> None:
         """Records a turn before its calls (document, endpoint) begin; refused and failed: documents."""
 
-    def asked(self, query: dict[str, list[str]], body: bytes) -> Answer:
+    def answer_keeper(self, query: dict[str, list[str]], body: bytes) -> Answer:
         """Answers a keeper's request for the trail; body: its request for signals, or empty."""
 
     def observed(self, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
         """The decision logic observed this of an endpoint; for the other senders."""
 
-    def linked(self) -> bool | None:
+    def signals_live(self) -> bool | None:
         """Whether signals of other senders reach this one at present; None if signals are not enabled."""
 
     def figures(self) -> list[tuple[str, object]]:
         """Further metrics for operators, as name and value."""
 
-    def ended(self) -> None:
+    def stop(self) -> None:
         """The process ends in order, and acts no more."""
 
 
-Reported = Callable[[list[Report]], None]  # takes what other senders observed, for the decision logic
-MakeAuditLog = Callable[[Config, Machine, Folder, Callable[[], SenderStatus], Reported], AuditLog]
+ReportSignals = Callable[[list[Report]], None]  # takes what other senders observed, for the decision logic
+AuditLogFactory = Callable[[Config, Machine, Folder, Callable[[], SenderStatus], ReportSignals], AuditLog]
--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -29,7 +29,7 @@
 log = logging.getLogger(__name__)
 
 
-def kind_of(answer: http1.Response) -> tuple[str, bool, float]:
+def classify_response(answer: http1.Response) -> tuple[str, bool, float]:
     """Maps a response to its outcome: the kind, whether the document has ended, and the wait told in ms."""
     if answer.status == 200:
         return our.OK, True, 0.0
@@ -44,7 +44,7 @@
     return our.ERROR, False, 0.0
 
 
-def report_of(answer: http1.Response) -> tuple[float | None, float | None]:
+def parse_load_report(answer: http1.Response) -> tuple[float | None, float | None]:
     """Reads the free capacity and the limit from a response; a report that is not fully valid is ignored."""
     report = LOAD_REPORT.fullmatch(answer.fields.get("server-load", ""))
     return (float(report[1]), float(report[2])) if report else (None, None)
@@ -54,18 +54,18 @@
 class Call:
     """One transmission of a document to an endpoint."""
 
-    doc: str
+    doc_id: str
     number: int
     endpoint: str
     body: bytes
-    patience_ms: float  # time-out, counted from when the call is written
+    timeout_ms: float  # time-out, counted from when the call is written
     repeat_key: str | None = None  # sent with every transmission if the client sent one (Idempotency-Key)
     started: float = 0.0  # when it was decided
     written: float = 0.0
     destination: int = -1
 
 
-class Line:
+class EndpointConnection:
     """One connection to an endpoint, from its dial to its close; carries one call at a time."""
 
     def __init__(self, calls: Calls, endpoint: str, where: tuple[str, int]) -> None:
@@ -76,7 +76,7 @@
         self._dial: Dial | None = None
         self._call: Call | None = None
         self._answer: http1.Response | None = None
-        self._reader = http1.Responses()
+        self._reader = http1.ResponseReader()
         self._deadline_passed = False  # the call's time is over; bytes that have arrived are still read
         self._new = True  # dialled for the current call, not taken from the idle pool
         self._written = False  # the request was handed to the network
@@ -87,13 +87,15 @@
         """Assigns a call to this connection, which is dialled if it is not established yet."""
         self._call = call
         self._answer = None
-        self._reader = http1.Responses()
+        self._reader = http1.ResponseReader()
         self._status_received = False
         self._written = self._deadline_passed = False
         self._stop_timer()
         self._new = self._link is None
         if self._new:
-            self._timer = self._calls.later(min(self._calls.dial_ms, call.patience_ms), self._connect_failed)
+            self._timer = self._calls.call_later(
+                min(self._calls.dial_ms, call.timeout_ms), self._connect_failed
+            )
             self._dial = Dial(self._calls.loop, self.address, self, self._connect_failed)
 
     def ready_for(self, call: Call) -> bool:
@@ -102,11 +104,16 @@
 
     def stale(self) -> bool:
         """True if the endpoint has closed an idle connection already, or sent bytes that nobody asked for."""
-        return self._link is None or self._link.closed or self._link.told()[1] or self._link.unread() > 0
+        return (
+            self._link is None
+            or self._link.closed
+            or self._link.receive_state()[1]
+            or self._link.unread_bytes() > 0
+        )
 
     def start_idle(self) -> None:
         """Stays idle until the next call, or until shortly before the endpoint would close it."""
-        self._timer = self._calls.later(self._calls.idle_ms * IDLE_TIME_SHARE, self._idle_expired)
+        self._timer = self._calls.call_later(self._calls.idle_ms * IDLE_TIME_SHARE, self._idle_expired)
 
     def close(self) -> None:
         """Closes the connection at once, or gives up its dial."""
@@ -125,10 +132,10 @@
         """Writes the request of the call, and starts its time-out."""
         call = self._call
         self._stop_timer()
-        self._timer = self._calls.later(call.patience_ms, self._timed_out)
+        self._timer = self._calls.call_later(call.timeout_ms, self._timed_out)
         fields = {
-            "Request-Id": call.doc,
-            "Request-Timeout-Ms": max(1, int(call.patience_ms)),
+            "Request-Id": call.doc_id,
+            "Request-Timeout-Ms": max(1, int(call.timeout_ms)),
             **({"Idempotency-Key": call.repeat_key} if call.repeat_key else {}),
         }
         host = f"{self.address[0]}:{self.address[1]}"
@@ -145,7 +152,7 @@
         self._link = link
         self._dial = None
         if self._call:
-            self._calls.connected(self._call)
+            self._calls.on_connected(self._call)
 
     def received(self, data: memoryview) -> None:
         """Parses the response, and ends the call once that is complete or malformed."""
@@ -160,22 +167,22 @@
                 if isinstance(event, http1.Response):
                     self._answer = event
                 elif event is http1.END:  # further bytes answer no call
-                    keep = self._answer.keep and not self._link.unsent and self._reader.between
+                    keep = self._answer.keep_alive and not self._link.unsent and self._reader.between_messages
                     self._end_call(keep, complete=True)
                     return
-        except http1.Malformed as problem:
+        except http1.MalformedError as problem:
             self._malformed(str(problem))
             return
-        if self._reader.told and not self._status_received:
+        if self._reader.status and not self._status_received:
             self._status_received = True
             self._timer.cancel()
-            left = self._call.patience_ms - self._calls.since(self._call.written)
-            self._timer = self._calls.later(
+            left = self._call.timeout_ms - self._calls.elapsed_since(self._call.written)
+            self._timer = self._calls.call_later(
                 min(RESPONSE_REST_MS, max(0.0, left)), self._malformed, "response not complete in time"
             )
-            if self._reader.told == 200:
-                self._calls.delivered(self._call)
-        if self._reader.told == 200 and self._reader.ended():
+            if self._reader.status == 200:
+                self._calls.on_delivered(self._call)
+        if self._reader.status == 200 and self._reader.complete_at_end():
             self._end_call(keep=False)  # the body has no meaning: no need to wait for its end
 
     def lost(self) -> None:
@@ -183,7 +190,7 @@
         if self._call is None:
             self._calls.discard(self)
         else:
-            self._end_call(keep=False, complete=self._answer is not None and self._reader.ended())
+            self._end_call(keep=False, complete=self._answer is not None and self._reader.complete_at_end())
 
     # Ends of a call
 
@@ -195,9 +202,9 @@
         self._end_call(keep=False, cancelled=not self._new or not self.stale())
 
     def _timed_out(self) -> None:
-        if self._link.unread() and not self._deadline_passed:  # an answer came in this pass: read it, once
+        if self._link.unread_bytes() and not self._deadline_passed:  # an answer came in this pass: read first
             self._deadline_passed = True
-            self._timer = self._calls.later(0.0, self._timed_out)
+            self._timer = self._calls.call_later(0.0, self._timed_out)
             return
         self._end_call(keep=False, timed_out=True)
 
@@ -224,13 +231,13 @@
         self._stop_timer()
         over, wait_ms, room, limit = False, 0.0, None, None
         if answer:
-            room, limit = report_of(answer)
-        if self._reader.told == 200:  # the status line is enough, whatever follows it
+            room, limit = parse_load_report(answer)
+        if self._reader.status == 200:  # the status line is enough, whatever follows it
             kind, over = our.OK, True
             if not self._status_received:
-                self._calls.delivered(call)
+                self._calls.on_delivered(call)
         elif answer and complete:  # any other response proves nothing unless it is complete
-            kind, over, wait_ms = kind_of(answer)
+            kind, over, wait_ms = classify_response(answer)
         elif cancelled:
             kind = our.UNSENT
         elif not self._written or self._link is None or self._link.unsent:
@@ -239,14 +246,17 @@
             kind = our.ERROR
         else:
             kind = our.TIMEOUT if timed_out else our.RESET
-        self._calls.ended(self, call, keep and kind in REUSABLE_OUTCOMES, (kind, over, wait_ms, room, limit))
+        self._calls.call_ended(
+            self, call, keep and kind in REUSABLE_OUTCOMES, (kind, over, wait_ms, room, limit)
+        )
 
 
 class Calls:
     """All connections to endpoints, and the calls in flight.
 
-    connected(call): a dialled connection is established, and its call waits for go(). delivered(call): the
-    status line of a 200 has come. told(call, outcome): the call has ended, reported once for each.
+    on_connected(call): a dialled connection is established, and its call waits for write_or_cancel().
+    on_delivered(call): the status line of a 200 has come. on_end(call, outcome): the call has ended, reported
+    once for each.
     """
 
     def __init__(
@@ -256,29 +266,29 @@
         idle_ms: float,
         dial_ms: float,
         max_idle: int,
-        connected: Callable,
-        delivered: Callable,
-        told: Callable,
+        on_connected: Callable,
+        on_delivered: Callable,
+        on_end: Callable,
     ) -> None:
         self.loop = loop
         self._clock = clock
         self.idle_ms = idle_ms
         self.dial_ms = dial_ms
         self._max_idle = max_idle
-        self.connected = connected
-        self.delivered = delivered
-        self._told = told
+        self.on_connected = on_connected
+        self.on_delivered = on_delivered
+        self._on_end = on_end
         self.addresses: dict[str, tuple[str, int]] = {}  # by endpoint
         self._malformed_count = 0
         self.transmitted = 0  # requests written completely to endpoints, for the metrics
-        self._idle: dict[Line, None] = {}  # oldest first
-        self._busy: dict[str, Line] = {}  # by document id
+        self._idle: dict[EndpointConnection, None] = {}  # oldest first
+        self._busy: dict[str, EndpointConnection] = {}  # by document id
 
-    def later(self, ms: float, function: Callable, *arguments: object) -> asyncio.TimerHandle:
+    def call_later(self, ms: float, function: Callable, *arguments: object) -> asyncio.TimerHandle:
         """Calls a function after a time in milliseconds."""
         return self.loop.call_later(ms / 1000.0, function, *arguments)
 
-    def since(self, moment: float) -> float:
+    def elapsed_since(self, moment: float) -> float:
         """Milliseconds since a moment of the clock."""
         return self._clock() - moment
 
@@ -298,12 +308,12 @@
     def __len__(self) -> int:
         return len(self._busy)
 
-    def gone(self, endpoint: str) -> None:
+    def remove_endpoint(self, endpoint: str) -> None:
         """Forgets an endpoint that left the list, except for its calls in flight."""
         self.addresses.pop(endpoint, None)
         self.close_idle(endpoint)
 
-    def move(self, endpoint: str, where: tuple[str, int]) -> None:
+    def set_address(self, endpoint: str, where: tuple[str, int]) -> None:
         """Sets the address of an endpoint; idle connections to another address are closed."""
         if self.addresses.get(endpoint) != where:
             self.addresses[endpoint] = where
@@ -311,73 +321,75 @@
 
     def begin(self, call: Call) -> bool:
         """Assigns a connection to a call: True if an idle one is ready, False if one is dialled."""
-        holds(call.doc not in self._busy, "a document has at most one transmission in flight")
+        holds(call.doc_id not in self._busy, "a document has at most one transmission in flight")
         call.started = self._clock()
-        line = self._newest(call.endpoint) or Line(self, call.endpoint, self.addresses[call.endpoint])
-        self._busy[call.doc] = line
-        line.begin(call)
-        return line.ready_for(call)
+        connection = self._take_idle(call.endpoint) or EndpointConnection(
+            self, call.endpoint, self.addresses[call.endpoint]
+        )
+        self._busy[call.doc_id] = connection
+        connection.begin(call)
+        return connection.ready_for(call)
 
-    def waiting(self, call: Call) -> bool:
+    def can_write(self, call: Call) -> bool:
         """True if the call still has a connection, to its endpoint's current address, and is not written.
 
         Guards against what arrived since the connection was chosen or established and has not been read yet:
         an end or a reset, which would leave the call in doubt, and bytes that would be taken for its answer.
         Limit: what arrives after this check is not noticed.
         """
-        line = self._busy.get(call.doc)
+        connection = self._busy.get(call.doc_id)
         return (
-            line is not None
-            and line.ready_for(call)
-            and line.address == self.addresses.get(call.endpoint)
-            and not line.stale()
+            connection is not None
+            and connection.ready_for(call)
+            and connection.address == self.addresses.get(call.endpoint)
+            and not connection.stale()
         )
 
-    def go(self, call: Call, may_write: bool) -> None:
+    def write_or_cancel(self, call: Call, may_write: bool) -> None:
         """Writes a call whose connection is established, or ends it as one that was never sent."""
-        line = self._busy.get(call.doc)
-        if line is not None and line.ready_for(call):
+        connection = self._busy.get(call.doc_id)
+        if connection is not None and connection.ready_for(call):
             call.written = self._clock()
-            (line.write if may_write else line.cancel)()
+            (connection.write if may_write else connection.cancel)()
 
-    def _newest(self, endpoint: str) -> Line | None:
+    def _take_idle(self, endpoint: str) -> EndpointConnection | None:
         """Takes the most recently used idle connection to an endpoint, and closes stale ones on the way."""
-        while line := next((each for each in reversed(self._idle) if each.endpoint == endpoint), None):
-            del self._idle[line]
-            if not line.stale():
-                return line
-            line.close()
+        while connection := next((each for each in reversed(self._idle) if each.endpoint == endpoint), None):
+            del self._idle[connection]
+            if not connection.stale():
+                return connection
+            connection.close()
         return None
 
-    def ended(self, line: Line, call: Call, keep: bool, result: tuple) -> None:
+    def call_ended(self, connection: EndpointConnection, call: Call, keep: bool, result: tuple) -> None:
         """Pools or closes the connection of a call that ended, and reports the outcome.
 
         result: the fields of the outcome, without those that are known here.
         """
-        self._busy.pop(call.doc, None)
-        kept = keep and line.address == self.addresses.get(line.endpoint)
+        self._busy.pop(call.doc_id, None)
+        kept = keep and connection.address == self.addresses.get(connection.endpoint)
         if kept:
-            self._idle[line] = None
-            line.start_idle()
+            self._idle[connection] = None
+            connection.start_idle()
             if len(self._idle) > self._max_idle:
                 self.discard(next(iter(self._idle)))
         else:
-            line.close()  # before the outcome is reported: a document never has two transmissions in flight
+            connection.close()  # before the outcome is reported: one transmission of a document at a time
         kind, *rest = result
-        elapsed_ms = self.since(call.started)
-        self._told(call, our.Outcome(kind, call.number, elapsed_ms, *rest, kept))
+        elapsed_ms = self.elapsed_since(call.started)
+        self._on_end(call, our.Outcome(kind, call.number, elapsed_ms, *rest, kept))
 
-    def discard(self, line: Line) -> None:
+    def discard(self, connection: EndpointConnection) -> None:
         """Removes an idle connection from the pool, and closes it."""
-        self._idle.pop(line, None)
-        line.close()
+        self._idle.pop(connection, None)
+        connection.close()
 
     def close_idle(self, endpoint: str) -> None:
         """Closes the idle connections to an endpoint."""
-        for line in [each for each in self._idle if each.endpoint == endpoint]:
-            self.discard(line)
+        for connection in [each for each in self._idle if each.endpoint == endpoint]:
+            self.discard(connection)
 
     def close(self) -> None:
         """Closes all connections, those of calls in flight too."""
-        for line in [*self._idle, *self._busy.values()]:
-            line.close()
+        for connection in [*self._idle, *self._busy.values()]:
+            connection.close()
--- a/birchstack/net/config.py
+++ b/birchstack/net/config.py
@@ -14,7 +14,7 @@
 
 from birchstack import settings
 from birchstack.interface import Settings
-from birchstack.net.driver import address
+from birchstack.net.driver import parse_address
 
 DEFAULTS = {
     "limits.sockets": 1024,
@@ -85,7 +85,7 @@
 
 def _address(raw: dict, key: str) -> tuple[str, int]:
     try:
-        return address(_at(raw, key, str))
+        return parse_address(_at(raw, key, str))
     except ValueError as problem:
         raise ConfigError(f"{key}: {problem}") from problem
 
--- a/birchstack/net/discovery.py
+++ b/birchstack/net/discovery.py
@@ -14,7 +14,7 @@
 
 from birchstack import interface as our
 from birchstack.net import http1
-from birchstack.net.driver import Dial, Link, address
+from birchstack.net.driver import Dial, Link, parse_address
 from birchstack.net.log import say
 
 BEAT_S, BEATS = 2.0, 2.5  # a line comes so often; after so many without one it is silent
@@ -46,7 +46,7 @@
                 STATES[line["state"]],
                 float(line.get("capacity_hint") or 0.0),
             ),
-            address(line["endpoint"]),
+            parse_address(line["endpoint"]),
         )
         for line in lines
     ]
@@ -76,7 +76,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._held, self._lines = bytearray(), []  # half a line; the lines of half an object,
         self._depth = self._size = 0  # its open brackets, and its size
-        self._reader = http1.Responses(max_body=None)
+        self._reader = http1.ResponseReader(max_body=None)
         self._stopped = False
         self._first = loop.create_future()  # done with the first list of a watch
 
@@ -114,7 +114,7 @@
         self._hang_up()
         if self._stopped:
             return
-        self._reader, self._held, self._lines = http1.Responses(max_body=None), bytearray(), []
+        self._reader, self._held, self._lines = http1.ResponseReader(max_body=None), bytearray(), []
         self._depth = self._size = 0
         self._asked_at = self._loop.time()
         self._timer = self._loop.call_at(self._asked_at + ANSWER_S, self._ask)
@@ -154,7 +154,7 @@
             for event in self._reader.feed(data):
                 if isinstance(event, http1.Response):
                     if event.status != 200:
-                        raise http1.Malformed(f"status {event.status}")
+                        raise http1.MalformedError(f"status {event.status}")
                     self._heard(self._asked_at)
                 elif event is http1.END:
                     ended = True  # what came whole before it counts
@@ -165,10 +165,10 @@
             for line in lines:
                 self._line(line)
             if self._size + len(self._held) > MOST_LIST:
-                raise http1.Malformed("list too long")
+                raise http1.MalformedError("list too long")
             if ended:
                 self._again()
-        except http1.Malformed as problem:
+        except http1.MalformedError as problem:
             say(log, "the watch broke", logging.WARNING, problem=problem)
             self._again()
 
@@ -186,7 +186,7 @@
         if self._depth <= 0:
             whole, self._lines, self._depth, self._size = b"\n".join(self._lines), [], 0, 0
             if not self._list(whole):
-                raise http1.Malformed("list")
+                raise http1.MalformedError("list")
             self._heard()
 
     def _read(self, text: bytes | str) -> tuple[dict, list, int] | None:
--- a/birchstack/net/driver.py
+++ b/birchstack/net/driver.py
@@ -35,7 +35,7 @@
         """The peer ended the connection, or it broke."""
 
 
-class Kernel:
+class SocketInfo:
     """What the kernel knows of a socket.
 
     A transport over another network than the kernel's supplies its own, by get_extra_info("kernel").
@@ -44,14 +44,14 @@
     def __init__(self, sock: socket.socket | None) -> None:
         self._sock = sock
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Number of received bytes that were not read yet."""
         try:
             return struct.unpack("i", fcntl.ioctl(self._sock.fileno(), termios.FIONREAD, b"\0\0\0\0"))[0]
         except (OSError, AttributeError):
             return 0
 
-    def told(self) -> tuple[float, bool]:
+    def receive_state(self) -> tuple[float, bool]:
         """Milliseconds since the last byte came, and whether the peer has closed."""
         try:
             info = self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
@@ -60,7 +60,7 @@
             return 0.0, False
 
 
-NO_KERNEL = Kernel(None)  # of a link that is not connected yet
+NO_SOCKET_INFO = SocketInfo(None)  # of a link that is not connected yet
 
 
 class Link(asyncio.BufferedProtocol):
@@ -69,7 +69,7 @@
     def __init__(self, owner: Owner) -> None:
         self._owner = owner
         self._transport: asyncio.Transport | None = None
-        self._kernel = NO_KERNEL
+        self._socket_info = NO_SOCKET_INFO
         self.unsent = False
         self.closed = False
         self._on_closed: Callable[[], None] | None = None
@@ -83,7 +83,7 @@
         # back would be lost with a close.
         with contextlib.suppress(OSError, AttributeError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._kernel = transport.get_extra_info("kernel") or Kernel(sock)
+        self._socket_info = transport.get_extra_info("kernel") or SocketInfo(sock)
         if self.closed:  # aborted while it was dialled
             transport.abort()
             return
@@ -133,10 +133,10 @@
             self._transport.write(data)
         return not self.closed and not self._transport.is_closing()
 
-    def hold(self, stop: bool) -> None:
+    def set_reading_paused(self, paused: bool) -> None:
         """Pauses or resumes reading."""
         if not self.closed:
-            (self._transport.pause_reading if stop else self._transport.resume_reading)()
+            (self._transport.pause_reading if paused else self._transport.resume_reading)()
 
     def finish(self, on_closed: Callable[[], None]) -> None:
         """Ends the sending side once everything is written; received bytes are discarded until the close."""
@@ -154,16 +154,16 @@
         if self._transport:
             self._transport.abort()
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Number of received bytes that the kernel holds and that were not read yet."""
-        return self._kernel.unread()
+        return self._socket_info.unread_bytes()
 
-    def told(self) -> tuple[float, bool]:
+    def receive_state(self) -> tuple[float, bool]:
         """Milliseconds since the last byte came, and whether the peer has closed, as the kernel knows it."""
-        return self._kernel.told()
+        return self._socket_info.receive_state()
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Parses host:port; raises ValueError if it is not valid."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
--- a/birchstack/net/front.py
+++ b/birchstack/net/front.py
@@ -2,7 +2,7 @@
 
 Owns the listening socket, every client connection, their number and the time that a request may stay
 incomplete. Never answers a document by itself: it passes the document to the sender, which answers it
-through the Handed it was given.
+through the ClientRequest it was given.
 """
 
 from __future__ import annotations
@@ -17,10 +17,14 @@
 from birchstack.net.driver import Link
 from birchstack.net.log import say
 from birchstack.net.machine import Listener, Machine
-from birchstack.net.room import coming
-
-TAKEN, REJECTED, CLOSED, ABANDONED = "taken", "rejected", "closed", "abandoned"  # closed: to all, for now
-STATUS = {TAKEN: 202, REJECTED: 429, CLOSED: 503, ABANDONED: 500}
+from birchstack.net.room import max_accepting
+
+# Verdicts on a submitted document
+ACCEPTED = "accepted"
+REJECTED = "rejected"
+UNAVAILABLE = "unavailable"  # no document is accepted at present
+ABANDONED = "abandoned"
+STATUS = {ACCEPTED: 202, REJECTED: 429, UNAVAILABLE: 503, ABANDONED: 500}
 CLIENT_TIMEOUT_MS = 400.0  # a client waits this long for its answer
 READY_PATHS = ("/up", "/alive")
 REQUEST_TIMEOUT_S = 2.0  # a request must be complete this long after its connection or its first byte
@@ -29,13 +33,13 @@
 QUIET_PASSES = 3  # passes of the event loop without a new connection, before the listener is closed
 MAX_UNANSWERED = 8  # requests that may wait for their answer on one connection
 EXCESS_TIMEOUT_MS = 1000.0  # a document's time-out may exceed the expiry of its type by this much
-ID = re.compile("[0-9A-Za-z._~:+/=@-]{1,128}")
-NUMBER = re.compile("[0-9]{1,9}")
-TEXT = re.compile("[ -~]{1,128}")  # an ordering key, an idempotency key or a tenant's name
+ID_PATTERN = re.compile("[0-9A-Za-z._~:+/=@-]{1,128}")
+NUMBER_PATTERN = re.compile("[0-9]{1,9}")
+TEXT_PATTERN = re.compile("[ -~]{1,128}")  # an ordering key, an idempotency key or a tenant's name
 log = logging.getLogger(__name__)
 
 
-class Refused(Exception):
+class InvalidRequestError(Exception):
     """The request cannot be a document; names the part at fault, and carries the status of the answer."""
 
     def __init__(self, part: str, status: int = 400) -> None:
@@ -47,11 +51,11 @@
     """Parses name=value pairs; a name may occur only once."""
     pairs = [pair.strip().partition("=")[::2] for pair in text.split(separator)]
     if len({name for name, _ in pairs}) < len(pairs):
-        raise Refused("duplicate name in X-Consignee or Cookie")
+        raise InvalidRequestError("duplicate name in X-Consignee or Cookie")
     return dict(pairs)
 
 
-class Handed:
+class ClientRequest:
     """One document as a client submitted it, validated before its body arrives, and the way to answer it."""
 
     __slots__ = (
@@ -63,60 +67,60 @@
         "tenant",
         "left_ms",
         "body",
-        "keep",
+        "keep_alive",
         "_client",
         "answer",
-        "again",
-        "_began",
+        "duplicates",
+        "_sent_at",
     )
 
-    def __init__(self, client: Client, head: http1.Request, front: Front) -> None:
+    def __init__(self, client: ClientConnection, head: http1.Request, server: ClientServer) -> None:
         fields = head.fields
         self._client = client
         self.body = b""
         self.answer = None
-        self.keep = head.keep
-        self.again: list[Handed] = []  # the same document, submitted over other connections
-        self._began = client.began
+        self.keep_alive = head.keep_alive
+        self.duplicates: list[ClientRequest] = []  # the same document, submitted over other connections
+        self._sent_at = client.request_began
         self.type = head.path[1:].partition("/")[0]
-        if self.type not in front.types:
-            raise Refused("document type", 404)
+        if self.type not in server.types:
+            raise InvalidRequestError("document type", 404)
         self.id = fields.get("request-id", "")
-        if not ID.fullmatch(self.id):
-            raise Refused("Request-Id")
+        if not ID_PATTERN.fullmatch(self.id):
+            raise InvalidRequestError("Request-Id")
         left = fields.get("request-timeout-ms", "")
-        if not NUMBER.fullmatch(left) or int(left) > front.types[self.type] + EXCESS_TIMEOUT_MS:
-            raise Refused("Request-Timeout-Ms")
+        if not NUMBER_PATTERN.fullmatch(left) or int(left) > server.types[self.type] + EXCESS_TIMEOUT_MS:
+            raise InvalidRequestError("Request-Timeout-Ms")
         self.left_ms = float(left)
         destination = _parse_pairs(fields.get("x-consignee", "").replace(";", ","), ",").get("dest", "")
-        if not NUMBER.fullmatch(destination):
-            raise Refused("X-Consignee")
+        if not NUMBER_PATTERN.fullmatch(destination):
+            raise InvalidRequestError("X-Consignee")
         self.destination = int(destination)
-        if not front.serves(self.destination):
-            raise Refused("destination", 404)
+        if not server.serves(self.destination):
+            raise InvalidRequestError("destination", 404)
         self.key = _parse_pairs(fields["cookie"], ";").get("thread") or None if "cookie" in fields else None
         self.repeat_key = fields.get("idempotency-key") or None
         self.tenant = fields.get("tenant") or None
-        if not all(TEXT.fullmatch(text) for text in (self.key, self.repeat_key, self.tenant) if text):
-            raise Refused("thread, Idempotency-Key or Tenant")
+        if not all(TEXT_PATTERN.fullmatch(text) for text in (self.key, self.repeat_key, self.tenant) if text):
+            raise InvalidRequestError("thread, Idempotency-Key or Tenant")
 
-    def told(self) -> tuple[float, bool]:
+    def age_and_gone(self) -> tuple[float, bool]:
         """How long ago the client sent it, in ms as far as is known, and whether the client has gone."""
         if self._client.gone:
             return 0.0, True
-        quiet_ms, gone = self._client.link.told()
-        return quiet_ms + self._client.since_ms(self._began), gone or quiet_ms >= CLIENT_TIMEOUT_MS
+        quiet_ms, gone = self._client.link.receive_state()
+        return quiet_ms + self._client.since_ms(self._sent_at), gone or quiet_ms >= CLIENT_TIMEOUT_MS
 
     def reply(self, verdict: str, wait_ms: float = 0.0, close: bool = False) -> None:
         """Answers the client by a verdict (a key of STATUS); wait_ms becomes its Retry-After."""
         fields = {"Retry-After": f"{wait_ms / 1000.0:g}"} if wait_ms > 0.0 else {}
         self.answer = http1.response(STATUS[verdict], fields, close)
         self._client.flush(close)
-        for each in self.again:
+        for each in self.duplicates:
             each.reply(verdict, wait_ms, close)
 
 
-class Said:
+class ImmediateAnswer:
     """An answer that is known at once: to a bad request, or to a readiness check."""
 
     __slots__ = ("answer",)
@@ -125,63 +129,71 @@
         self.answer = answer
 
 
-class Client:
+class ClientConnection:
     """One client connection.
 
-    due: by when a request must be complete, or the next one must come; began: when the current request's
-    first byte came; asked: whether any request has been complete; gone: closed, or being closed.
+    due: by when a request must be complete, or the next one must come; request_began: when the current
+    request's first byte came; has_requested: whether any request has been complete; gone: closed, or being
+    closed.
     """
 
-    def __init__(self, front: Front) -> None:
-        self._front = front
-        self._reader = http1.Requests()
+    def __init__(self, server: ClientServer) -> None:
+        self._server = server
+        self._reader = http1.RequestReader()
         self.link: Link | None = None
-        self._head: http1.Request | Handed | None = None
+        self._head: http1.Request | ClientRequest | None = None
         self._body: list[bytes] = []
-        self._responses: deque[Handed | Said] = deque()  # in the order of the requests
+        self._responses: deque[ClientRequest | ImmediateAnswer] = deque()  # in the order of the requests
         self.gone = False
         self._last_request = False  # no further request is read
-        self.asked = False
-        self.due = self.began = 0.0
+        self.has_requested = False
+        self.due = self.request_began = 0.0
 
     @property
     def idle(self) -> bool:
         """True if no request, complete or not, is being read or answered."""
-        return not self._responses and self._head is None and self._reader.between and not self.link.unread()
+        return (
+            not self._responses
+            and self._head is None
+            and self._reader.between_messages
+            and not self.link.unread_bytes()
+        )
 
-    def spent(self) -> bool:
+    def stalled(self) -> bool:
         """True if a request has stayed incomplete for longer than its client waits."""
         return (
-            not self._responses and self.since_ms(self.began) > CLIENT_TIMEOUT_MS and not self.link.unread()
+            not self._responses
+            and self.since_ms(self.request_began) > CLIENT_TIMEOUT_MS
+            and not self.link.unread_bytes()
         )
 
     def opened(self, link: Link) -> None:
         """Registers the connection, and starts the time-out of its first request."""
         self.link = link
-        self.began = self._front.time()
-        self.due = self.began + REQUEST_TIMEOUT_S
-        self._front.joined(self)
+        self.request_began = self._server.time()
+        self.due = self.request_began + REQUEST_TIMEOUT_S
+        self._server.register(self)
 
     def lost(self) -> None:
         """Unregisters the connection."""
         self.gone = True
-        self._front.left(self)
+        self._server.unregister(self)
 
-    def since_ms(self, began: float) -> float:
+    def since_ms(self, moment: float) -> float:
         """Milliseconds since a time of the loop."""
-        return (self._front.time() - began) * 1000.0
+        return (self._server.time() - moment) * 1000.0
 
     def received(self, data: memoryview) -> None:
         """Parses requests; a malformed one is answered, and ends the connection."""
         if self._last_request:
             return
-        self._front.touch(self)
-        if self._reader.between and self._head is None:
-            self.began = self._front.time()
+        self._server.touch(self)
+        if self._reader.between_messages and self._head is None:
+            self.request_began = self._server.time()
             self.due = (
-                min(self.due, self.began + REQUEST_TIMEOUT_S)
-                if not self.asked
-                else self.began + REQUEST_TIMEOUT_S
+                min(self.due, self.request_began + REQUEST_TIMEOUT_S)
+                if not self.has_requested
+                else self.request_began + REQUEST_TIMEOUT_S
             )
         try:
             for event in self._reader.feed(data):
@@ -193,10 +205,10 @@
                     self._on_request()
                 if self._last_request:
                     break
-        except http1.Malformed as problem:
+        except http1.MalformedError as problem:
             self._respond(problem.status, str(problem), close=True)
         if not self.gone and self.link.unsent:  # it sends requests and does not read the answers
-            self._front.count("slow reader closed")
+            self._server.count("slow reader closed")
             self.drop()
 
     def _on_head(self, head: http1.Request) -> None:
@@ -207,8 +219,8 @@
             self._respond(503, "too many unanswered requests", close=True)
         elif head.method == "POST":
             try:
-                self._head = Handed(self, head, self._front)
-            except Refused as problem:
+                self._head = ClientRequest(self, head, self._server)
+            except InvalidRequestError as problem:
                 self._respond(problem.status, str(problem), close=True)
                 return
             if head.fields.get("expect", "").lower() == "100-continue" and not self._responses:
@@ -218,24 +230,26 @@
 
     def _on_request(self) -> None:
         """Passes a complete document on, or answers a readiness check."""
-        handed = self._head
+        request = self._head
         self._head = None
-        self.asked = True
-        if isinstance(handed, Handed):
-            handed.body = b"".join(self._body)
+        self.has_requested = True
+        if isinstance(request, ClientRequest):
+            request.body = b"".join(self._body)
             self._body = []
-            self._last_request = not handed.keep or self._front.ending
-            self._responses.append(handed)
-            self._front.handed(handed)
-        elif handed.path not in READY_PATHS:
+            self._last_request = not request.keep_alive or self._server.ending
+            self._responses.append(request)
+            self._server.on_document(request)
+        elif request.path not in READY_PATHS:
             self._respond(404, close=True)
         else:
-            self._respond(503 if self._front.ending else 200, close=not handed.keep or self._front.ending)
+            self._respond(
+                503 if self._server.ending else 200, close=not request.keep_alive or self._server.ending
+            )
 
     def _respond(self, status: int, problem: str = "", close: bool = False) -> None:
         if problem:
-            self._front.count(f"bad request: {problem}")
-        self._responses.append(Said(http1.response(status, None, close)))
+            self._server.count(f"bad request: {problem}")
+        self._responses.append(ImmediateAnswer(http1.response(status, None, close)))
         self.flush(close)
 
     def flush(self, close: bool = False) -> None:
@@ -244,20 +258,20 @@
         while self._responses and self._responses[0].answer is not None:
             self.link.write(self._responses.popleft().answer)
         if not self._responses:
-            self.due = self._front.time() + IDLE_TIMEOUT_S
+            self.due = self._server.time() + IDLE_TIMEOUT_S
             if self._last_request and not self.gone:
                 self.gone = True
-                self._front.leaves(self)
+                self._server.close_gracefully(self)
 
     def refuse(self) -> None:
         """Answers 503 and closes the connection, whatever it requests."""
         self._respond(503, close=True)
 
-    def overdue(self) -> None:
+    def on_deadline(self) -> None:
         """Its time is over: an idle connection is closed, and an incomplete request is answered first."""
-        if self._responses or self.link.unread():
+        if self._responses or self.link.unread_bytes():
             return
-        if self._head is None and self._reader.between:
+        if self._head is None and self._reader.between_messages:
             self.flush(close=True)  # not by a reset, which the client could not tell from a request cut off
         else:
             self._respond(408, "not complete in time", close=True)
@@ -266,14 +280,14 @@
         """Resets the connection."""
         if self.link and not self.gone:
             self.gone = True
-            self._front.left(self)
+            self._server.unregister(self)
             self.link.abort()
 
 
-class Front:
+class ClientServer:
     """The listener for clients, and their connections.
 
-    handed(document) is called for each document once its last byte was read; serves(destination) tells
+    on_document(request) is called for each document once its last byte was read; serves(destination) tells
     whether a destination is known; types: the expiry in ms by document type.
     """
 
@@ -283,16 +297,16 @@
         types: dict[str, float],
         max_clients: int,
         serves: Callable[[int], bool],
-        handed: Callable[[Handed], None],
+        on_document: Callable[[ClientRequest], None],
     ) -> None:
         self._loop = loop
         self.types = types
         self._max_clients = max_clients
         self.serves = serves
-        self.handed = handed
-        self._clients: dict[Client, None] = {}  # least recently active first
+        self.on_document = on_document
+        self._clients: dict[ClientConnection, None] = {}  # least recently active first
         self._leaving: dict[Link, None] = {}  # sent their last answer, not closed yet
-        self._server: Listener | None = None
+        self._listener: Listener | None = None
         self._machine: Machine | None = None
         self.time = loop.time
         self.closing = False
@@ -302,12 +316,12 @@
     async def open(self, machine: Machine, where: tuple[str, int]) -> None:
         """Starts listening."""
         self._machine = machine
-        self._server = await machine.listen(
+        self._listener = await machine.listen(
             self._loop,
             where,
-            lambda: Link(Client(self)),
+            lambda: Link(ClientConnection(self)),
             True,
-            coming(self._max_clients),
+            max_accepting(self._max_clients),
             self._on_no_descriptor,
         )
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -317,7 +331,7 @@
 
     def busy(self) -> bool:
         """True until no client can come any more, and all that came have received their answers."""
-        listens = self._server is not None and self._server.is_serving()
+        listens = self._listener is not None and self._listener.is_serving()
         return bool(listens or self._clients or self._leaving)
 
     def count(self, what: str) -> None:
@@ -326,13 +340,13 @@
         if self.counts[what] <= 3:
             say(log, what, logging.WARNING)
 
-    def joined(self, client: Client) -> None:
+    def register(self, client: ClientConnection) -> None:
         """Registers a connection; beyond the limit, another one is closed or this one is refused."""
         self._clients[client] = None
         if len(self._clients) + len(self._leaving) > self._max_clients:
             self._make_room(client)
 
-    def _make_room(self, newest: Client) -> None:
+    def _make_room(self, newest: ClientConnection) -> None:
         """Closes connections until the limit is kept; one with a live request is never closed.
 
         First goes the connection that has been silent the longest and never made a request, then one that is
@@ -342,12 +356,12 @@
         self.count("too many clients")
         while len(self._clients) + len(self._leaving) > self._max_clients:
             others = [each for each in self._clients if each is not newest]
-            silent = next((each for each in others if not each.asked and each.idle), None)
+            silent = next((each for each in others if not each.has_requested and each.idle), None)
             if silent is None and self._leaving:
                 link = next(iter(self._leaving))
                 del self._leaving[link]
                 link.abort()
-            elif free := silent or next((each for each in others if each.idle or each.spent()), None):
+            elif free := silent or next((each for each in others if each.idle or each.stalled()), None):
                 free.drop()
             else:
                 newest.refuse()
@@ -356,20 +370,20 @@
     def _on_no_descriptor(self) -> None:
         """No descriptor is left to accept a connection: closes those that have been idle the longest."""
         self.count("no descriptor for a client")
-        for client in [each for each in self._clients if each.idle][: coming(self._max_clients)]:
+        for client in [each for each in self._clients if each.idle][: max_accepting(self._max_clients)]:
             client.drop()
 
-    def left(self, client: Client) -> None:
+    def unregister(self, client: ClientConnection) -> None:
         """Unregisters a connection."""
         self._clients.pop(client, None)
 
-    def leaves(self, client: Client) -> None:
+    def close_gracefully(self, client: ClientConnection) -> None:
         """Closes a connection gracefully, once its last answer is written."""
-        self.left(client)
+        self.unregister(client)
         self._leaving[client.link] = None
         client.link.finish(lambda: self._leaving.pop(client.link, None))
 
-    def touch(self, client: Client) -> None:
+    def touch(self, client: ClientConnection) -> None:
         """Marks a registered connection as the most recently active."""
         if self._clients.pop(client, self) is None:
             self._clients[client] = None
@@ -377,7 +391,7 @@
     def _sweep(self) -> None:
         now = self.time()
         for client in [each for each in self._clients if each.due <= now]:
-            client.overdue()
+            client.on_deadline()
         self._close_idle()  # those whose request ended while clients are sent away
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
@@ -397,20 +411,22 @@
         self._close_idle()
 
     def _close_idle(self) -> None:
-        for client in [each for each in self._clients if each.asked and each.idle] if self.ending else []:
+        for client in (
+            [each for each in self._clients if each.has_requested and each.idle] if self.ending else []
+        ):
             client.flush(close=True)
 
-    def shut(self, quiet: int = 0) -> None:
+    def stop_listening(self, quiet: int = 0) -> None:
         """Closes the listener once all connections that wait were accepted; quiet: passes without one.
 
         Guards against lost requests: the kernel resets connections that still wait when the listener is
         closed, and they may have sent a request already; asyncio loses those that it has accepted and not
         given a transport yet, one pass later.
         """
-        if not self._server:
+        if not self._listener:
             return
-        quiet = 0 if self._machine.knocked(self._server) else quiet + 1
+        quiet = 0 if self._machine.knocked(self._listener) else quiet + 1
         if quiet < QUIET_PASSES:
-            self._loop.call_later(0.0, self.shut, quiet)
+            self._loop.call_later(0.0, self.stop_listening, quiet)
         else:
-            self._server.close()
+            self._listener.close()
--- a/birchstack/net/http1.py
+++ b/birchstack/net/http1.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 without I/O: parsers from bytes to typed events, and encoders.
 
 Owns the syntax and its limits: heads, lengths, chunks, keep-alive. Knows no socket, no clock and not what a
-message is for. Input that breaks the syntax or a limit raises Malformed; the reader is then unusable.
+message is for. Input that breaks the syntax or a limit raises MalformedError; the reader is then unusable.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 SINGLE_FIELDS = ("content-length", "transfer-encoding", "host")  # may occur only once
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """Not HTTP/1.1, or beyond a limit; status is the one that a server would answer."""
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -55,7 +55,7 @@
     method: str
     path: str
     fields: dict[str, str]
-    keep: bool  # whether the connection persists after the message
+    keep_alive: bool  # whether the connection persists after the message
     query: str = ""  # what follows the path's "?", not decoded
 
 
@@ -65,12 +65,12 @@
 
     status: int
     fields: dict[str, str]
-    keep: bool  # whether the connection persists after the message
+    keep_alive: bool  # whether the connection persists after the message
 
 
 def _parse_length(text: str, base: int = 10) -> int:
     if not LENGTH[base].fullmatch(text):
-        raise Malformed("invalid length")
+        raise MalformedError("invalid length")
     return int(text, base)
 
 
@@ -79,17 +79,17 @@
     for line in lines:
         field = FIELD.fullmatch(line)
         if not field:
-            raise Malformed("invalid header line")
+            raise MalformedError("invalid header line")
         name, value = field[1].lower(), field[2].rstrip(" \t")
         if name in fields:
             if name in SINGLE_FIELDS:
-                raise Malformed("duplicate header")
+                raise MalformedError("duplicate header")
             value = f"{fields[name]}, {value}"
         fields[name] = value
     return fields
 
 
-class Reader:
+class MessageReader:
     """Parses a stream of messages: feed() returns a head, pieces of its body and END for each of them.
 
     _state is the method that parses the next bytes. It appends events to a list, and returns whether to go on
@@ -113,11 +113,11 @@
             yield from events
 
     @property
-    def between(self) -> bool:
+    def between_messages(self) -> bool:
         """True if no byte of an incomplete message is held."""
         return self._state == self._start and not self._buffer
 
-    def ended(self) -> bool:
+    def complete_at_end(self) -> bool:
         """True if the end of the stream would complete a message without a declared length."""
         return self._state == self._read_until_end
 
@@ -125,7 +125,7 @@
         at = self._buffer.find(b"\r\n", 0, max_bytes + 2)
         if at < 0:
             if len(self._buffer) > max_bytes:
-                raise Malformed("line too long", 431)
+                raise MalformedError("line too long", 431)
             return None
         line = self._buffer[:at].decode("latin-1")
         del self._buffer[: at + 2]
@@ -139,9 +139,9 @@
         at = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD + 4)
         if at < 0:
             if len(self._buffer) > MAX_HEAD:
-                raise Malformed("head too long", 431)
+                raise MalformedError("head too long", 431)
             if self._buffer.count(b"\n") != self._buffer.count(b"\r\n"):
-                raise Malformed("bare line feed")
+                raise MalformedError("bare line feed")
             return False
         first, *lines = self._buffer[:at].decode("latin-1").split("\r\n")
         del self._buffer[: at + 4]
@@ -163,9 +163,9 @@
         self._body_size = 0
         if coding is not None:
             if length is not None:
-                raise Malformed("both Content-Length and Transfer-Encoding")
+                raise MalformedError("both Content-Length and Transfer-Encoding")
             if coding.lower() != "chunked":
-                raise Malformed("transfer coding not supported", 501)
+                raise MalformedError("transfer coding not supported", 501)
             self._state = self._read_chunk_size
         elif length is not None or not else_until_end:
             self._remaining = _parse_length(length) if length is not None else 0
@@ -177,7 +177,7 @@
     def _check_body_size(self, more: int) -> None:
         self._body_size += more
         if self._max_body is not None and self._body_size > self._max_body:
-            raise Malformed("body too long", 413)
+            raise MalformedError("body too long", 413)
 
     def _take_body(self, events: list) -> None:
         if self._remaining and self._buffer:
@@ -207,7 +207,7 @@
         if self._remaining or len(self._buffer) < 2:
             return False
         if self._buffer[:2] != b"\r\n":
-            raise Malformed("chunk not terminated by CRLF")
+            raise MalformedError("chunk not terminated by CRLF")
         del self._buffer[:2]
         self._state = self._read_chunk_size
         return True
@@ -232,7 +232,7 @@
         return False
 
 
-class Requests(Reader):
+class RequestReader(MessageReader):
     """Parses requests, for a server."""
 
     _skipped_blank = False  # an empty line before the request line, as RFC 9112 permits
@@ -244,55 +244,55 @@
         if not self._buffer or self._buffer == b"\r":
             return False
         if not REQUEST_LINE_START.match(self._buffer):
-            raise Malformed("invalid request line")
+            raise MalformedError("invalid request line")
         self._state = self._read_head
         return True
 
     def _on_head(self, first: str, fields: dict[str, str], events: list) -> None:
         line = REQUEST_LINE.fullmatch(first)
         if not line:
-            raise Malformed("invalid request line")
+            raise MalformedError("invalid request line")
         method, target, version = line.groups()
         self._skipped_blank = False
         if "host" not in fields and version == "HTTP/1.1":
-            raise Malformed("no Host header")
+            raise MalformedError("no Host header")
         path, _, query = target.partition("?")
         events.append(Request(method, path, fields, self._keep_alive(version, fields), query))
         self._start_body(fields, False, events)
 
 
-class Responses(Reader):
+class ResponseReader(MessageReader):
     """Parses responses, for a client."""
 
-    told = 0  # status of the last complete status line that is not a 1xx; its head may be incomplete
+    status = 0  # status of the last complete status line that is not a 1xx; its head may be incomplete
     _interim = 0  # 1xx responses so far
 
     def _start(self, events: list) -> bool:
         if self._buffer[:7] != b"HTTP/1."[: len(self._buffer)]:
-            raise Malformed("invalid status line")
+            raise MalformedError("invalid status line")
         at = self._buffer.find(b"\n", 0, MAX_HEAD)
         if at < 0:
             if len(self._buffer) > MAX_HEAD:
-                raise Malformed("status line too long", 431)
+                raise MalformedError("status line too long", 431)
             return False
         line = STATUS_LINE.fullmatch(self._buffer[:at].decode("latin-1").removesuffix("\r"))
         if not line:
-            raise Malformed("invalid status line")
+            raise MalformedError("invalid status line")
         status = int(line[2])
         if status >= 200:
-            self.told = status
+            self.status = status
         self._state = self._read_head
         return True
 
     def _on_head(self, first: str, fields: dict[str, str], events: list) -> None:
         line = STATUS_LINE.fullmatch(first)
         if not line:
-            raise Malformed("invalid status line")
+            raise MalformedError("invalid status line")
         status, keep = int(line[2]), self._keep_alive(line[1], fields)
         if status < 200:  # an interim response: the final one is still to come
             self._interim += 1
             if self._interim > MAX_INTERIM_RESPONSES or status == 101:
-                raise Malformed("too many interim responses, or 101")
+                raise MalformedError("too many interim responses, or 101")
             return
         until_end = (
             fields.get("transfer-encoding") is None
--- a/birchstack/net/listed.py
+++ b/birchstack/net/listed.py
@@ -34,16 +34,16 @@
         if mode == our.WHOLE:  # what it leaves out is gone
             named = {entry.name for entry, _ in listed}
             for name in [each for each in self.entries if each not in named]:
-                self._calls.gone(name)
+                self._calls.remove_endpoint(name)
                 del self.entries[name]
         for entry, where in listed:
             if entry.state != our.GONE:
-                self._calls.move(entry.name, where)
+                self._calls.set_address(entry.name, where)
                 self.entries[entry.name] = entry
                 self._destinations.pop(entry.destination, None)
                 self._destinations[entry.destination] = None
             else:
-                self._calls.gone(entry.name)
+                self._calls.remove_endpoint(entry.name)
                 self.entries.pop(entry.name, None)
         while len(self._destinations) > max(LEAST, len(self.entries)):
             del self._destinations[next(iter(self._destinations))]
--- a/birchstack/net/notices.py
+++ b/birchstack/net/notices.py
@@ -38,7 +38,7 @@
         self._under_way: list[str] = []
         self._link: Link | None = None
         self._dial: Dial | None = None
-        self._reader = http1.Responses()
+        self._reader = http1.ResponseReader()
         self._most, self._answer_s = MOST, ANSWER_S
         self._answer: http1.Response | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -66,7 +66,7 @@
         if self._link and not self._link.closed:
             self._write()
         else:
-            self._reader, self._answer = http1.Responses(), None
+            self._reader, self._answer = http1.ResponseReader(), None
             self._dial = Dial(self._loop, self._where, self, self._failed)
 
     def _write(self) -> None:
@@ -84,12 +84,12 @@
                 if isinstance(event, http1.Response):
                     self._answer = event
                 elif event is http1.END:  # what comes behind it answers nothing that is under way later
-                    if not (self._answer.keep and self._reader.between and self._under_way):
+                    if not (self._answer.keep_alive and self._reader.between_messages and self._under_way):
                         self._hang_up()
                     if self._under_way:
                         self._answered(self._answer.status)
                     return
-        except http1.Malformed:
+        except http1.MalformedError:
             self._failed()
 
     def lost(self) -> None:
--- a/birchstack/net/operators.py
+++ b/birchstack/net/operators.py
@@ -101,7 +101,7 @@
     """One connection of an operator: one call, its answer, the end."""
 
     def __init__(self, door: Door) -> None:
-        self._door, self._reader = door, http1.Requests(max_body=BODY)
+        self._door, self._reader = door, http1.RequestReader(max_body=BODY)
         self._head: http1.Request | None = None
         self._body = bytearray()
         self.link: Link | None = None
@@ -123,7 +123,7 @@
                     return
                 elif isinstance(event, bytes):
                     self._body += event
-        except http1.Malformed as problem:
+        except http1.MalformedError as problem:
             self._say(Answer(False, f"malformed: {problem}", problem.status))
 
     def _say(self, answer: Answer) -> None:
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple, Protocol
 
 from birchstack.decide import CALL_MS, Sender
-from birchstack.net.front import CLOSED, REJECTED, TAKEN, Handed
+from birchstack.net.front import ACCEPTED, REJECTED, UNAVAILABLE, ClientRequest
 from birchstack.net.ledger import Ledger, Owed
 from birchstack.net.log import say
 from birchstack.net.machine import Folder
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 
 
-class Kept(Protocol):
+class StoredDocument(Protocol):
     """One document on disk, not transmitted yet; times are milliseconds of the lasting clock."""
 
     id: str
@@ -58,19 +58,19 @@
     def fits(self, sizes: list[int]) -> bool:
         """True if bodies of these sizes can be added."""
 
-    def append(self, kept: Kept) -> None:
+    def append(self, kept: StoredDocument) -> None:
         """Adds a document behind the others of its destination."""
 
     def holds(self, doc_id: str) -> bool:
         """True if the document is here."""
 
-    def read(self, destination: int, most: int) -> list[Kept]:
+    def read(self, destination: int, most: int) -> list[StoredDocument]:
         """Reads the first documents of a destination; they stay until moved()."""
 
     def moved(self, destination: int, count: int) -> None:
         """Removes the first documents of a destination: the ledger has them."""
 
-    def due(self, now: float, most: int) -> list[Kept]:
+    def due(self, now: float, most: int) -> list[StoredDocument]:
         """Reads documents that expire by the given time; they stay until ended()."""
 
     def ended(self, ids: list[str]) -> None:
@@ -92,15 +92,20 @@
         """Closes the files."""
 
 
-class Made(NamedTuple):
-    """An opened store. window: documents of a destination in memory; kept: makes a Kept, fields in order."""
+class OpenedStore(NamedTuple):
+    """An opened store.
+
+    window: documents of a destination that the decision logic gets at once; make_document: makes a document
+    from its fields, in their order.
+    """
 
     store: Store
     window: int
-    kept: Callable[..., Kept]
+    make_document: Callable[..., StoredDocument]
 
 
-Make = Callable[[Folder, float], Made]  # opens the store of a folder, at a time of the lasting clock
+# Opens the store of a folder, at a time of the lasting clock
+StoreFactory = Callable[[Folder, float], OpenedStore]
 
 
 class Overflow:
@@ -112,7 +117,7 @@
 
     def __init__(
         self,
-        made: Made,
+        opened: OpenedStore,
         ledger: Ledger,
         core: Sender,
         wall: float,
@@ -120,7 +125,7 @@
         adopt: Callable[[float, Owed, str | None], object],
         soon: Callable[[], None],
     ) -> None:
-        self._store, self._window, self._kept = made
+        self._store, self._window, self._make_document = opened
         self._ledger = ledger
         self._core = core
         self._submit = adopt
@@ -129,7 +134,7 @@
         self._started_at = wall
         self._store.drop([*ledger.ended, *ledger.owed])
         ledger.freed = self.freed
-        self._pending: dict[str, Handed] = {}  # accepted in this turn, not recorded yet
+        self._pending: dict[str, ClientRequest] = {}  # accepted in this turn, not recorded yet
         self._pending_counts: dict[int, int] = {}  # of those, by destination
         self._stored = dict.fromkeys(self._store.destinations())  # destinations with documents on disk
         self._to_read = dict.fromkeys(self._stored)  # of those, the ones that may have room
@@ -147,51 +152,53 @@
         """True if the document is in the ledger or in the store."""
         return doc_id in self._ledger.owed or self._store.holds(doc_id)
 
-    def takes(self, now: float, handed: Handed, age_ms: float, advice_ms: float) -> tuple[str, float] | None:
+    def admit(
+        self, now: float, request: ClientRequest, age_ms: float, advice_ms: float
+    ) -> tuple[str, float] | None:
         """Decides where a new document goes: None if it is submitted to the decision logic at once.
 
-        Otherwise a verdict and a wait in ms: TAKEN if it waits on disk, to be answered once it is recorded,
-        or a refusal, after whose wait the client may submit it again.
+        Otherwise a verdict and a wait in ms: ACCEPTED if it waits on disk, to be answered once it is
+        recorded, or a refusal, after whose wait the client may submit it again.
         """
-        destination = handed.destination
-        size = len(handed.body)
+        destination = request.destination
+        size = len(request.body)
         ahead = self._store.waiting(destination)[0] + self._pending_counts.get(destination, 0)
         room = self._core.room(destination, self._window, len(self._stored), ahead)
         if not ahead and room > 0 and self._ledger.fits([size]):
             return None
-        if back_ms := self._core.back_ms(now, destination, handed.left_ms - age_ms, ahead):
+        if back_ms := self._core.back_ms(now, destination, request.left_ms - age_ms, ahead):
             return REJECTED, back_ms
         if not self._store.fits([size, *(len(each.body) for each in self._pending.values())]):
-            return CLOSED, advice_ms
-        handed.left_ms -= age_ms
-        self._pending[handed.id] = handed
+            return UNAVAILABLE, advice_ms
+        request.left_ms -= age_ms
+        self._pending[request.id] = request
         self._pending_counts[destination] = self._pending_counts.get(destination, 0) + 1
-        return TAKEN, 0.0
+        return ACCEPTED, 0.0
 
-    def record(self, handed: Handed, wall: float) -> bool:
-        """Writes a document that takes() accepted to the store; False if it is not one of those.
+    def record(self, request: ClientRequest, wall: float) -> bool:
+        """Writes a document that admit() accepted to the store; False if it is not one of those.
 
         Raises OSError if it could not be written.
         """
-        if self._pending.pop(handed.id, None) is None:
+        if self._pending.pop(request.id, None) is None:
             return False
-        self._pending_counts[handed.destination] -= 1
-        if not self._pending_counts[handed.destination]:
-            del self._pending_counts[handed.destination]
+        self._pending_counts[request.destination] -= 1
+        if not self._pending_counts[request.destination]:
+            del self._pending_counts[request.destination]
         self._store.append(
-            self._kept(
-                handed.id,
-                handed.type,
-                handed.destination,
-                handed.key,
-                wall + handed.left_ms,
-                handed.body,
-                handed.repeat_key,
-                handed.tenant,
+            self._make_document(
+                request.id,
+                request.type,
+                request.destination,
+                request.key,
+                wall + request.left_ms,
+                request.body,
+                request.repeat_key,
+                request.tenant,
                 wall,
             )
         )
-        self._stored[handed.destination] = self._to_read[handed.destination] = self._housekeeping_due = True
+        self._stored[request.destination] = self._to_read[request.destination] = self._housekeeping_due = True
         return True
 
     def freed(self, destination: int) -> None:
@@ -257,7 +264,7 @@
     def _read(self, now: float, destination: int) -> int:
         """Moves and submits as many documents of a destination as there is room for; returns how many."""
         most = min(MAX_READ, self._room(destination))
-        moved: list[Kept] = []
+        moved: list[StoredDocument] = []
         for kept in self._store.read(destination, most) if most > 0 else ():
             if not self._ledger.fits([len(kept.body)]):
                 break
@@ -271,12 +278,12 @@
         self._forget_if_empty(destination)
         return len(moved)
 
-    def _move(self, kept: Kept) -> None:
+    def _move(self, kept: StoredDocument) -> None:
         """Writes a document of the store to the ledger."""
         owed = self._ledger.take(
             kept.id, kept.type, kept.destination, kept.key, kept.expiry, kept.body, kept.repeat_key
         )
         owed.found = kept.taken < self._started_at
 
-    def _submit_moved(self, now: float, kept: Kept) -> None:
+    def _submit_moved(self, now: float, kept: StoredDocument) -> None:
         self._submit(now, self._ledger.owed[kept.id], kept.tenant)
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -14,12 +14,12 @@
 
 from birchstack import interface as our
 from birchstack.decide import NEVER_RAN, Sender
-from birchstack.net.audit import MakeAuditLog, SenderStatus
+from birchstack.net.audit import AuditLogFactory, SenderStatus
 from birchstack.net.by_hand import ByHand
 from birchstack.net.calls import Call, Calls
 from birchstack.net.config import Config, ConfigError, fits, load, take_over
 from birchstack.net.discovery import Watch
-from birchstack.net.front import ABANDONED, CLOSED, REJECTED, TAKEN, Front, Handed
+from birchstack.net.front import ABANDONED, ACCEPTED, REJECTED, UNAVAILABLE, ClientRequest, ClientServer
 from birchstack.net.ledger import Ledger, Owed
 from birchstack.net.listed import Listed
 from birchstack.net.log import broken, holds, say
@@ -27,10 +27,9 @@
 from birchstack.net.notices import Notices
 from birchstack.net.operators import Answer, Door, Figures
 from birchstack.net.operators import Calls as OperatorCalls
-from birchstack.net.overflow import Make as MakeStore
-from birchstack.net.overflow import Overflow
+from birchstack.net.overflow import Overflow, StoreFactory
 from birchstack.net.recollection import Recollection
-from birchstack.net.room import fitted, shares
+from birchstack.net.room import divide, limit_to_descriptors
 from birchstack.net.tally import Tally
 
 # Graceful shutdown, in seconds after SIGTERM
@@ -56,11 +55,11 @@
         config: Config,
         loop: asyncio.AbstractEventLoop,
         machine: Machine | None = None,
-        audit: MakeAuditLog | None = None,
-        store: MakeStore | None = None,
+        audit: AuditLogFactory | None = None,
+        store: StoreFactory | None = None,
     ) -> None:
         self._machine = machine or Machine()
-        self._config = config = fitted(config, self._machine.descriptors())
+        self._config = config = limit_to_descriptors(config, self._machine.descriptors())
         self._loop = loop
         self._started_at = loop.time()
         folder = self._folder = self._machine.folder(config.state)
@@ -68,24 +67,24 @@
         self._core = Sender(config.settings, config.seed, self)
         self._holds_lock = folder.lock(LOCK_NAME)  # False: another process of this sender holds it and sends
         self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds_lock else self._machine.unique())
-        room = shares(config.sockets, config.settings.slots)
+        shares = divide(config.sockets, config.settings.slots)
         self._calls = Calls(
             loop,
             self.clock,
             config.idle_ms,
             config.dial_ms,
-            room.idle,
+            shares.idle,
             self._on_connected,
             self._on_delivered,
             self._on_call_end,
         )
         types = {kind.name: kind.expiry_ms for kind in config.settings.types}
         self._list = Listed(self._calls)
-        self._front = Front(loop, types, room.clients, self._list.serves, self._on_document)
+        self._client_server = ClientServer(loop, types, shares.clients, self._list.serves, self._on_document)
         self._watch = Watch(loop, config.discovery, config.kinds, self._on_list, self._may_apply_list)
         self._notices = Notices(loop, config.discovery, self._on_acknowledged)
         self._events: list[tuple] = []  # events of this pass, for the next turn
-        self._pending: dict[str, Handed] = {}  # documents submitted during this turn, not answered yet
+        self._pending: dict[str, ClientRequest] = {}  # documents submitted during this turn, not answered yet
         self._starting: dict[str, Call] = {}  # calls to start at the end of this turn
         self._connected: list[Call] = []  # calls whose connection is established, to write at the turn's end
         self._answers: dict[str, tuple[str, float]] = {}  # by document id, for ids that are submitted again
@@ -109,9 +108,9 @@
             lambda endpoint: self._set_by_hand(endpoint, False),
             lambda: self._drain(True),
             lambda: self._drain(False),
-            self._audit.asked if self._audit else None,
+            self._audit.answer_keeper if self._audit else None,
         )
-        self._door = Door(loop, operator_calls, room.callers) if config.ops else None
+        self._door = Door(loop, operator_calls, shares.operators) if config.ops else None
         self._store = store
         self._overflow = None  # backlog of documents beyond a destination's window, where one is configured
         self.ended = loop.create_future()
@@ -126,16 +125,16 @@
         if self._door:
             await self._door.open(self._machine, self._config.ops)
         if self._audit:
-            self._audit.begins(self._holds_lock)
-            self._audit.settings(self._config, "start")
+            self._audit.start(self._holds_lock)
+            self._audit.record_settings(self._config, "start")
         self._watch.start(self._config.known)
         await self._watch.first()
         self._recover(self._ledger.owed)
         self._turn()
-        await self._front.open(self._machine, self._config.listen)
+        await self._client_server.open(self._machine, self._config.listen)
         self._end_overdue()
         self._loop.call_later(STATE_LOG_INTERVAL_S, self._log_state)
-        if self._audit and self._audit.linked() is not None:
+        if self._audit and self._audit.signals_live() is not None:
             self._check_signals()
         self._ready = True
         self._loop.call_later(LOCK_CHECK_S, self._check_lock)
@@ -152,7 +151,7 @@
         """Submits documents found in the folder, by id, to the decision logic; notices are sent again."""
         now = self.clock()
         wall = self._lasting.ms()
-        self._remember({doc_id: (TAKEN, 0.0) for doc_id in (*self._ledger.ended, *found)})
+        self._remember({doc_id: (ACCEPTED, 0.0) for doc_id in (*self._ledger.ended, *found)})
         for owed in [*found.values()]:
             owed.due = now + owed.expiry - wall
             if owed.notice:
@@ -188,8 +187,8 @@
         """Submits a document accepted earlier to the decision logic, with its past transmissions."""
         wall = self._lasting.ms()
         owed.due = now + owed.expiry - wall
-        self._remember({owed.id: (TAKEN, 0.0)})
-        if owed.type not in self._front.types:
+        self._remember({owed.id: (ACCEPTED, 0.0)})
+        if owed.type not in self._client_server.types:
             self._end_with_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
             return
         doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
@@ -226,7 +225,7 @@
         self._signals_live = False  # the new decision logic has not been told yet
         self._by_hand.read()  # operators may have called the other process meanwhile
         if self._audit:
-            self._audit.begins(True)
+            self._audit.start(True)
         for mode, listed in self._deferred_lists:
             entries = [self._by_hand.as_told(entry) for entry in listed]
             self._events.append((self._core.endpoints, mode, entries))
@@ -248,12 +247,12 @@
             self._turn_due = True
             self._loop.call_soon(self._turn)
 
-    def _on_document(self, handed: Handed) -> None:
-        self._enqueue(self._accept, handed)
+    def _on_document(self, request: ClientRequest) -> None:
+        self._enqueue(self._accept, request)
 
     def _may_apply_list(self, told: dict, source: str) -> bool:
         """Shows a list from discovery to the audit log; False if it must not be applied."""
-        return self._audit is None or self._audit.told(told, source)
+        return self._audit is None or self._audit.record_list(told, source)
 
     def _on_list(self, mode: str, listed: list) -> None:
         self._list.apply(mode, listed)
@@ -271,9 +270,9 @@
 
     def _on_delivered(self, call: Call) -> None:
         """Ends the document at the status line of a 200: the rest of the answer cannot change that."""
-        owed = self._ledger.owed.get(call.doc)
+        owed = self._ledger.owed.get(call.doc_id)
         if owed and holds(owed.notice is None, "a document ends exactly once"):
-            self._tally.delivered(owed.type)
+            self._tally.count_delivered(owed.type)
             if self.clock() < owed.due - EXPIRY_MARGIN_MS:
                 self._ledger.done(owed)
             else:  # the platform may count it as expired: it also gets a notice,
@@ -283,7 +282,7 @@
     def _on_call_end(self, call: Call, outcome: our.Outcome) -> None:
         if outcome.wait_ms > 0.0:
             self._ledger.told(call.endpoint, self._lasting.ms() + outcome.wait_ms)
-        owed = self._ledger.owed.get(call.doc)
+        owed = self._ledger.owed.get(call.doc_id)
         if owed and owed.notice is None:  # with a notice it stays until the platform has acknowledged that
             if outcome.over:
                 self._ledger.done(owed)
@@ -291,7 +290,7 @@
                 failed = outcome.kind not in (our.FULL, our.UNSENT)
                 self._ledger.back(owed, outcome.kind not in NEVER_RAN, failed)
         self._ledger.freed(call.destination)
-        self._enqueue(self._core.outcome, call.doc, call.endpoint, outcome)
+        self._enqueue(self._core.outcome, call.doc_id, call.endpoint, outcome)
 
     def _on_acknowledged(self, ids: list[str]) -> None:
         for doc_id in ids:
@@ -347,45 +346,45 @@
             holds(False, "a document ends before its expiry")
         self._loop.call_later(OVERDUE_MS / 2000.0, self._end_overdue)
 
-    def _accept(self, now: float, handed: Handed) -> None:
+    def _accept(self, now: float, request: ClientRequest) -> None:
         """Answers a submission that needs no decision, or submits the document to the decision logic."""
-        age, gone = handed.told()
+        age, gone = request.age_and_gone()
         advice_ms = self._config.settings.retry_after_ms
         if gone:
-            handed.reply(CLOSED)  # the client does not read it, and the document was not accepted
-        elif handed.id in self._pending:
-            self._pending[handed.id].again.append(handed)
-        elif handed.id in self._answers or self._overflow and self._overflow.holds(handed.id):
-            handed.reply(*self._answers.get(handed.id, (TAKEN, 0.0)))
+            request.reply(UNAVAILABLE)  # the client does not read it, and the document was not accepted
+        elif request.id in self._pending:
+            self._pending[request.id].duplicates.append(request)
+        elif request.id in self._answers or self._overflow and self._overflow.holds(request.id):
+            request.reply(*self._answers.get(request.id, (ACCEPTED, 0.0)))
         elif self._closing_at is not None and not self._handing_over:
-            self._answer(handed, CLOSED, advice_ms)
-        elif self._overflow and (verdict := self._overflow.takes(now, handed, age, advice_ms)):
-            if verdict[0] != TAKEN:
-                self._answer(handed, *verdict)
+            self._answer(request, UNAVAILABLE, advice_ms)
+        elif self._overflow and (verdict := self._overflow.admit(now, request, age, advice_ms)):
+            if verdict[0] != ACCEPTED:
+                self._answer(request, *verdict)
             else:
-                self._pending[handed.id] = handed
-        elif not self._ledger.fits([len(handed.body), *(len(each.body) for each in self._pending.values())]):
-            self._answer(handed, CLOSED, advice_ms)
+                self._pending[request.id] = request
+        elif not self._ledger.fits([len(request.body), *(len(each.body) for each in self._pending.values())]):
+            self._answer(request, UNAVAILABLE, advice_ms)
         else:
-            handed.left_ms -= age
-            self._pending[handed.id] = handed
+            request.left_ms -= age
+            self._pending[request.id] = request
             given = our.Submission(
-                handed.id,
-                handed.destination,
-                handed.type,
-                handed.left_ms,
-                handed.key,
-                tenant=handed.tenant,
+                request.id,
+                request.destination,
+                request.type,
+                request.left_ms,
+                request.key,
+                tenant=request.tenant,
             )
-            if not self._guarded(self._core.document, now, given) and self._pending.pop(handed.id, None):
-                self._guarded(self._core.withdrawn, now, handed.id)
-                self._answer(handed, CLOSED, advice_ms)
+            if not self._guarded(self._core.document, now, given) and self._pending.pop(request.id, None):
+                self._guarded(self._core.withdrawn, now, request.id)
+                self._answer(request, UNAVAILABLE, advice_ms)
 
-    def _answer(self, handed: Handed, verdict: str, wait_ms: float = 0.0) -> None:
-        if verdict != TAKEN:
-            self._tally.undelivered(handed.id, handed.type, verdict == ABANDONED)
-        self._remember({handed.id: (verdict, wait_ms)})
-        handed.reply(verdict, wait_ms, close=self._front.ending)
+    def _answer(self, request: ClientRequest, verdict: str, wait_ms: float = 0.0) -> None:
+        if verdict != ACCEPTED:
+            self._tally.count_undelivered(request.id, request.type, verdict == ABANDONED)
+        self._remember({request.id: (verdict, wait_ms)})
+        request.reply(verdict, wait_ms, close=self._client_server.ending)
 
     def _remember(self, answers: dict[str, tuple[str, float]]) -> None:
         self._answers.update(answers)
@@ -396,32 +395,32 @@
         """Carries out a turn's decisions: writes the ledger, then answers clients, then makes the calls."""
         pending, self._pending = self._pending, {}
         wall = self._lasting.ms() + now - self.clock()  # at the start of the turn, which may have been long
-        for handed in pending.values():
+        for request in pending.values():
             try:
-                if self._overflow and self._overflow.record(handed, wall):
-                    self._answer(handed, TAKEN)
+                if self._overflow and self._overflow.record(request, wall):
+                    self._answer(request, ACCEPTED)
                     continue
                 owed = self._ledger.take(
-                    handed.id,
-                    handed.type,
-                    handed.destination,
-                    handed.key,
-                    wall + handed.left_ms,
-                    handed.body,
-                    handed.repeat_key,
+                    request.id,
+                    request.type,
+                    request.destination,
+                    request.key,
+                    wall + request.left_ms,
+                    request.body,
+                    request.repeat_key,
                 )
             except OSError as problem:
                 say(log, "not taken on", logging.ERROR, problem=problem)
-                self._enqueue(self._core.withdrawn, handed.id)
-                self._cancel_call(self._starting.pop(handed.id, None))
-                self._answer(handed, CLOSED, self._config.settings.retry_after_ms)
+                self._enqueue(self._core.withdrawn, request.id)
+                self._cancel_call(self._starting.pop(request.id, None))
+                self._answer(request, UNAVAILABLE, self._config.settings.retry_after_ms)
             else:
-                owed.due = now + handed.left_ms
-                self._answer(handed, TAKEN)
+                owed.due = now + request.left_ms
+                self._answer(request, ACCEPTED)
         starting, self._starting = self._starting, {}
         leaving = []
         for call in starting.values():
-            owed = self._ledger.owed.get(call.doc)
+            owed = self._ledger.owed.get(call.doc_id)
             if not holds(
                 owed and owed.notice is None and call.endpoint in self._calls.addresses,
                 "only documents that are held are sent, and only to listed endpoints",
@@ -431,12 +430,12 @@
             call.body = owed.body
             call.repeat_key = owed.repeat_key
             leaving.append(call)
-        refused, failed = self._tally.take_turn()
+        refused, failed = self._tally.take_ended()
         if self._audit and (leaving or refused or failed):
-            self._audit.turn([(call.doc, call.endpoint) for call in leaving], refused, failed)
+            self._audit.record_turn([(call.doc_id, call.endpoint) for call in leaving], refused, failed)
         connected, self._connected = self._connected, []
         for call in [*connected, *(each for each in leaving if self._calls.begin(each))]:
-            self._calls.go(call, self._may_write(self.clock(), call))
+            self._calls.write_or_cancel(call, self._may_write(self.clock(), call))
 
     def _may_write(self, now: float, call: Call) -> bool:
         """Checks a call again just before it is written, and records it in the ledger first.
@@ -446,13 +445,13 @@
         removed or moved, the document may have ended, or this process may have been told to stop. Cost: the
         connection is closed, and the next call to the endpoint dials again.
         """
-        owed = self._ledger.owed.get(call.doc)
+        owed = self._ledger.owed.get(call.doc_id)
         if not (
             owed
             and owed.notice is None
             and self._may_call()
-            and self._calls.waiting(call)
-            and self._core.stands(now, call.doc)
+            and self._calls.can_write(call)
+            and self._core.stands(now, call.doc_id)
         ):
             return False
         try:
@@ -460,7 +459,7 @@
         except OSError as problem:
             say(log, "not sent", logging.ERROR, problem=problem)
             return False
-        call.patience_ms = min(call.patience_ms, owed.due - now)
+        call.timeout_ms = min(call.timeout_ms, owed.due - now)
         return True
 
     def _cancel_call(self, call: Call | None) -> None:
@@ -475,7 +474,7 @@
             owed=len(self._ledger.owed),
             out=len(self._calls),
             notices=len(self._notices),
-            clients=len(self._front),
+            clients=len(self._client_server),
             broken=dict(broken),
             untried=dict(self._tally.untried),
         )
@@ -515,7 +514,7 @@
                 )
                 self._tally.untried[why] += 1
                 say(log, "given up with no call", logging.WARNING, doc=doc_id, reason=why)
-            self._tally.undelivered(owed.id, owed.type, result == "dead")
+            self._tally.count_undelivered(owed.id, owed.type, result == "dead")
             self._ledger.notice(owed, result, wait_ms)
             self._notices.tell(doc_id, result, wait_ms)
 
@@ -568,7 +567,7 @@
 
     def _update_signals(self) -> None:
         """Tells the decision logic when signals of other senders begin or cease to arrive."""
-        live = bool(self._audit.linked())
+        live = bool(self._audit.signals_live())
         if live != self._signals_live and self._holds_lock:
             self._signals_live = live
             say(log, "signals of other senders come" if live else "no signals of other senders come")
@@ -610,7 +609,7 @@
 
     def _drain(self, drained: bool) -> Answer:
         """Sends clients away, or serves them again; held documents are still sent, and the process stays."""
-        self._front.drain(drained)
+        self._client_server.drain(drained)
         return Answer(True, "drained" if drained else "serving")
 
     # Reload and shutdown
@@ -622,7 +621,7 @@
         lower limits apply to what comes next.
         """
         try:
-            fresh = fitted(load(again=True), self._machine.descriptors())
+            fresh = limit_to_descriptors(load(again=True), self._machine.descriptors())
             self._turn()  # submissions so far are accepted under the old settings
             held = {owed.type for owed in self._ledger.owed.values() if owed.notice is None}
             fits(fresh, self._config, held, self._list.last_kind())
@@ -632,11 +631,11 @@
             return
         self._reloads[0] += 1
         self._config, changed, waits = take_over(fresh, self._config)
-        self._front.types = {kind.name: kind.expiry_ms for kind in fresh.settings.types}
+        self._client_server.types = {kind.name: kind.expiry_ms for kind in fresh.settings.types}
         self._calls.idle_ms = fresh.idle_ms
         self._calls.dial_ms = fresh.dial_ms
         if self._audit:
-            self._audit.settings(self._config, "reload")
+            self._audit.record_settings(self._config, "reload")
         if changed:
             self._enqueue(self._core.adopt, fresh.settings)
         self._watch.move(fresh.discovery, fresh.kinds)
@@ -662,8 +661,10 @@
             out=len(self._calls),
             handing=self._handing_over,
         )
-        self._front.close()
-        self._loop.call_later(0.0 if self._handing_over else ACCEPT_CLIENTS_S, self._front.shut)
+        self._client_server.close()
+        self._loop.call_later(
+            0.0 if self._handing_over else ACCEPT_CLIENTS_S, self._client_server.stop_listening
+        )
         self._loop.call_later(0.0 if self._handing_over else ACCEPT_CLIENTS_S, self._check_closed)
 
     def _check_closed(self) -> None:
@@ -674,9 +675,9 @@
         """
         elapsed_s = self._loop.time() - self._closing_at
         if self._handing_over or not self._holds_lock:
-            busy = len(self._calls) or len(self._front)
+            busy = len(self._calls) or len(self._client_server)
         else:
-            busy = self._front.busy() or (
+            busy = self._client_server.busy() or (
                 self._ledger.owed if elapsed_s < START_CALLS_S else len(self._calls) or len(self._notices)
             )
         if busy and elapsed_s < FINISH_CALLS_S:
@@ -695,6 +696,6 @@
         for each in filter(None, (self._overflow, self._door)):
             each.close()
         if self._audit:
-            self._audit.ended()
+            self._audit.stop()
         if not self.ended.done():
             self.ended.set_result(None)
--- a/birchstack/net/tally.py
+++ b/birchstack/net/tally.py
@@ -23,16 +23,16 @@
         self._failed: list[str] = []
         self.untried: Counter[str] = Counter()
 
-    def delivered(self, kind: str) -> None:
+    def count_delivered(self, kind: str) -> None:
         """Counts a delivered document of a type."""
         self._counts[kind, DELIVERED] += 1
 
-    def undelivered(self, doc_id: str, kind: str, failed: bool) -> None:
+    def count_undelivered(self, doc_id: str, kind: str, failed: bool) -> None:
         """Counts a document as failed (abandoned), or as refused: its client may submit it again."""
         self._counts[kind, FAILED if failed else REFUSED] += 1
         (self._failed if failed else self._refused).append(doc_id)
 
-    def take_turn(self) -> tuple[list[str], list[str]]:
+    def take_ended(self) -> tuple[list[str], list[str]]:
         """Returns the ids of documents refused and failed since the last call."""
         ended = self._refused, self._failed
         self._refused = []
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -34,14 +34,14 @@
 
 @mutant("a turn is recorded after its calls")
 def _(patch):
-    old = audit_log.FleetAuditLog.turn
+    old = audit_log.FleetAuditLog.record_turn
 
     def turn(self, calls, refused, failed):
         late, self.late = getattr(self, "late", None), (calls, refused, failed)
         if late:
             old(self, *late)
 
-    patch.set(audit_log.FleetAuditLog, "turn", turn)
+    patch.set(audit_log.FleetAuditLog, "record_turn", turn)
 
 
 @mutant("an adoption is recorded when something more is adopted")
@@ -61,8 +61,10 @@
 
 @mutant("only the first call of a turn is recorded")
 def _(patch):
-    old = audit_log.FleetAuditLog.turn
-    patch.set(audit_log.FleetAuditLog, "turn", lambda self, calls, *words: old(self, calls[:1], *words))
+    old = audit_log.FleetAuditLog.record_turn
+    patch.set(
+        audit_log.FleetAuditLog, "record_turn", lambda self, calls, *words: old(self, calls[:1], *words)
+    )
 
 
 @mutant("a number is used twice")
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -77,8 +77,8 @@
     old = sender.Node._commit
 
     def settle(self, now):
-        for handed in self._pending.values():
-            handed.reply(front.TAKEN)
+        for request in self._pending.values():
+            request.reply(front.ACCEPTED)
         old(self, now)
 
     patch.set(sender.Node, "_commit", settle)
@@ -86,8 +86,8 @@
 
 @mutant("a told wait is ignored")
 def _(patch):
-    old = calls.kind_of
-    patch.set(calls, "kind_of", lambda answer: (*old(answer)[:2], 0.0))
+    old = calls.classify_response
+    patch.set(calls, "classify_response", lambda answer: (*old(answer)[:2], 0.0))
 
 
 @mutant("a drain is ignored")
@@ -97,13 +97,13 @@
 
 @mutant("a call that timed out is left open beside the next")
 def _(patch):
-    old = calls.Line._timed_out
+    old = calls.EndpointConnection._timed_out
 
     def timed_out(self):
         self.close = never
         old(self)
 
-    patch.set(calls.Line, "_timed_out", timed_out)
+    patch.set(calls.EndpointConnection, "_timed_out", timed_out)
 
 
 @mutant("a time-out proves that nothing ran")
@@ -156,13 +156,13 @@
 
 @mutant("bodies lose their last byte")
 def _(patch):
-    old = calls.Line.write
+    old = calls.EndpointConnection.write
 
     def write(self):
         self._call.body = self._call.body[:-1]
         old(self)
 
-    patch.set(calls.Line, "write", write)
+    patch.set(calls.EndpointConnection, "write", write)
 
 
 @mutant("one call in a hundred goes to another destination")
@@ -276,12 +276,12 @@
 
 @mutant("clients are answered half a second late")
 def _(patch):
-    old = front.Handed.reply
+    old = front.ClientRequest.reply
 
     def reply(self, *words, **more):
-        self._client._front._loop.call_later(0.5, functools.partial(old, self, *words, **more))
+        self._client._server._loop.call_later(0.5, functools.partial(old, self, *words, **more))
 
-    patch.set(front.Handed, "reply", reply)
+    patch.set(front.ClientRequest, "reply", reply)
 
 
 @mutant("repeats cost nothing and have no bound")
@@ -341,7 +341,7 @@
 
 @mutant("bad clients are left alone")
 def _(patch):
-    patch.set(front.Client, "overdue", never)
+    patch.set(front.ClientConnection, "on_deadline", never)
 
 
 @mutant("what the full disk did not take is taken on all the same", DAY, ("disk_full", "kill", "vanish"))
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from birchstack.net.calls import Call, Line
+from birchstack.net.calls import Call, EndpointConnection
 
 
 class Link:
@@ -18,10 +18,10 @@
     def abort(self):
         self.closed = True
 
-    def told(self):
+    def receive_state(self):
         return 0.0, self.gone
 
-    def unread(self):
+    def unread_bytes(self):
         return self.waiting
 
 
@@ -38,32 +38,32 @@
     def __init__(self):
         self.ends, self.ok, self.dropped, self.timers = [], [], [], []
 
-    def later(self, ms, what, *words):
+    def call_later(self, ms, what, *words):
         self.timers.append(ms)
         return Timer()
 
-    def since(self, moment):
+    def elapsed_since(self, moment):
         return 0.0
 
     def count_malformed(self, endpoint, problem):
         self.malformed = problem
 
-    def delivered(self, call):
-        self.ok.append(call.doc)
+    def on_delivered(self, call):
+        self.ok.append(call.doc_id)
 
-    def ended(self, line, call, keep, how):
+    def call_ended(self, connection, call, keep, how):
         self.ends.append((how[0], keep))
 
-    def discard(self, line):
-        self.dropped.append(line)
+    def discard(self, connection):
+        self.dropped.append(connection)
 
 
 def connection_with(link, calls):
-    line = Line(calls, "s-1", ("127.0.0.1", 1))
-    line.opened(link)
-    line.begin(Call("d", 0, "s-1", b"body", 500.0))
-    line.write()
-    return line
+    connection = EndpointConnection(calls, "s-1", ("127.0.0.1", 1))
+    connection.opened(link)
+    connection.begin(Call("d", 0, "s-1", b"body", 500.0))
+    connection.write()
+    return connection
 
 
 @pytest.mark.parametrize("unsent, kind", [(True, "connect_failed"), (False, "reset")])
@@ -93,9 +93,9 @@
 )
 def test_an_answer_cut_off_by_the_end_of_the_connection(text, ends, ok):
     calls = FakeCalls()
-    line = connection_with(Link(), calls)
-    line.received(memoryview(text))
-    line.lost()
+    connection = connection_with(Link(), calls)
+    connection.received(memoryview(text))
+    connection.lost()
     assert calls.ends == [ends] and calls.ok == ok
 
 
@@ -126,11 +126,11 @@
 )
 def test_an_answer_incomplete_long_after_its_status_line_is_malformed_before_the_time_out(text, ends):
     calls = FakeCalls()
-    line = connection_with(Link(), calls)
-    line._call.patience_ms = 9000.0
-    line.received(memoryview(text))
+    connection = connection_with(Link(), calls)
+    connection._call.timeout_ms = 9000.0
+    connection.received(memoryview(text))
     assert calls.timers[-1] <= 500.0 and not calls.ends
-    line._malformed("not whole in time")
+    connection._malformed("not whole in time")
     assert calls.ends == [(ends, False)]
 
 
@@ -147,19 +147,19 @@
 )
 def test_a_connection_is_kept_only_if_it_can_be_reused_and_the_outcome_allows_it(text, keep):
     calls = FakeCalls()
-    line = connection_with(Link(), calls)
-    line.received(memoryview(text))
+    connection = connection_with(Link(), calls)
+    connection.received(memoryview(text))
     assert len(calls.ends) == 1 and calls.ends[0][1] is keep
 
 
 def test_an_idle_connection_is_closed_before_the_endpoints_idle_time_out():
     calls = FakeCalls()
-    line = connection_with(Link(), calls)
-    line.received(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-    line.start_idle()
+    connection = connection_with(Link(), calls)
+    connection.received(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+    connection.start_idle()
     assert calls.timers[-1] < calls.idle_ms
-    line.received(memoryview(b"HTTP/1.1 408 Late\r\n"))
-    assert calls.dropped == [line] and len(calls.ends) == 1
+    connection.received(memoryview(b"HTTP/1.1 408 Late\r\n"))
+    assert calls.dropped == [connection] and len(calls.ends) == 1
 
 
 @pytest.mark.parametrize("gone, waiting", [(False, 0), (True, 0), (False, 7)])
--- a/tests/test_capacity_sender.py
+++ b/tests/test_capacity_sender.py
@@ -64,7 +64,7 @@
         }
     },
     "notices": {"node: notices answered": {"net/notices.py Notices._send": 1}},
-    "idle": {"node: a connection": {"net/calls.py Calls._newest": 1}},
+    "idle": {"node: a connection": {"net/calls.py Calls._take_idle": 1}},
     "list": {
         "node: a list read": {
             "net/discovery.py Watch.received": 2,
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -12,7 +12,7 @@
 
 import pytest
 from fake import OK_200, answer, play, post, read_message
-from test_crossings import InProcessWorld, front, until  # noqa: F401
+from test_crossings import InProcessWorld, client_server, until  # noqa: F401
 
 from birchstack import interface as our
 from birchstack.net import driver
@@ -48,7 +48,7 @@
             assert (await world.operator("GET", "/ready"))[0] == 200
 
     asyncio.run(whole())
-    assert set(made) == {"Client", "Line", "Watch", "Notices", "Caller"}
+    assert set(made) == {"ClientConnection", "EndpointConnection", "Watch", "Notices", "Caller"}
     assert all(all(each) for each in made.values())
 
 
@@ -71,7 +71,7 @@
             lambda call, outcome: self.ends.append(outcome.kind),
         )
         self._door = socket.create_server(("127.0.0.1", 0))
-        self.calls.move("s-1", self._door.getsockname())
+        self.calls.set_address("s-1", self._door.getsockname())
         return self
 
     async def dialled(self):
@@ -83,15 +83,15 @@
     async def idle(self):
         """The same over an idle connection that has served a call."""
         await self.dialled()
-        self.calls.go(self.call, True)
+        self.calls.write_or_cancel(self.call, True)
         self.endpoint.recv(9999)
         self.endpoint.sendall(OK_200)
         await until(lambda: self.ends.pop() if self.ends else None)
         self.call = Call("d2", 0, "s-1", b"y", 5000.0)
         assert self.calls.begin(self.call)
 
-    def line(self):
-        return self.calls._busy[self.call.doc]
+    def connection(self):
+        return self.calls._busy[self.call.doc_id]
 
     async def __aexit__(self, *problem):
         self.calls.close()
@@ -116,10 +116,10 @@
             await getattr(paused, how)()
             written = paused.calls.transmitted
             ENDPOINT_ACTIONS[act](paused.endpoint)
-            while not paused.line().stale():  # the bytes are here, and the loop has not run since
+            while not paused.connection().stale():  # the bytes are here, and the loop has not run since
                 pass
-            assert not paused.calls.waiting(paused.call)
-            paused.calls.go(paused.call, False)
+            assert not paused.calls.can_write(paused.call)
+            paused.calls.write_or_cancel(paused.call, False)
             assert paused.ends == [kind] and paused.calls.transmitted == written  # it was never sent
 
     asyncio.run(whole())
@@ -129,12 +129,12 @@
     async def whole():
         async with PausedCall() as paused:
             await paused.idle()
-            line, written = paused.line(), paused.calls.transmitted
-            assert paused.calls.waiting(paused.call)
+            connection, written = paused.connection(), paused.calls.transmitted
+            assert paused.calls.can_write(paused.call)
             reset(paused.endpoint)  # after the last check
-            while not line.stale():
+            while not connection.stale():
                 pass
-            paused.calls.go(paused.call, True)
+            paused.calls.write_or_cancel(paused.call, True)
             assert paused.ends == [our.CONNECT_FAILED] and paused.calls.transmitted == written
             await asyncio.sleep(0.02)
             assert len(paused.ends) == 1
@@ -265,16 +265,16 @@
     play(tmp_path, story)
 
 
-def test_bytes_after_the_last_request_or_the_close_are_read_and_discarded(front):  # noqa: F811
+def test_bytes_after_the_last_request_or_the_close_are_read_and_discarded(client_server):  # noqa: F811
     submitted = []
-    front.handed = lambda handed: submitted.append(handed.id) or handed.reply("taken")
-    client, idle = front.client(), front.client()
+    client_server.on_document = lambda request: submitted.append(request.id) or request.reply("accepted")
+    client, idle = client_server.client(), client_server.client()
     client.sendall(post("d1", more="Connection: close\r\n") + post("d2") * 50)
-    front.turn()
-    front.turn(lambda: [each.overdue() for each in [*front._clients]])
+    client_server.turn()
+    client_server.turn(lambda: [each.on_deadline() for each in [*client_server._clients]])
     for each in (client, idle):
         each.sendall(post("d3") * 50)
-    front.turn()
+    client_server.turn()
     received = b""
     while data := client.recv(9999):
         received += data
@@ -282,24 +282,24 @@
     assert idle.recv(9999) == b""
     for each in (client, idle):
         each.sendall(post("d4"))
-        front.turn()
+        client_server.turn()
         each.close()
-    front.turn()
-    assert submitted == ["d1"] and not front._leaving and not front._clients
+    client_server.turn()
+    assert submitted == ["d1"] and not client_server._leaving and not client_server._clients
 
 
-def test_new_idle_clients_do_not_reset_a_client_that_was_sent_its_last_answer(front):  # noqa: F811
-    client = front.client()
+def test_new_idle_clients_do_not_reset_a_client_that_was_sent_its_last_answer(client_server):  # noqa: F811
+    client = client_server.client()
     client.sendall(post("d1", more="Connection: close\r\n"))
-    front.turn()
-    idle = [front.client() for _ in range(60)]  # 40 are accepted
+    client_server.turn()
+    idle = [client_server.client() for _ in range(60)]  # 40 are accepted
     for _ in range(6):
-        front.turn()
+        client_server.turn()
     for _ in range(5):
         client.sendall(b"x")  # would be answered by a reset if the connection were closed
-        front.turn()
+        client_server.turn()
     assert client.recv(99).startswith(b"HTTP/1.1 202")
-    assert len(front._clients) + len(front._leaving) == 40 and idle[0].recv(9) == b""
+    assert len(client_server._clients) + len(client_server._leaving) == 40 and idle[0].recv(9) == b""
     for each in (client, *idle):
         each.close()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 from birchstack.net.calls import Call, Calls
 from birchstack.net.config import decode
 from birchstack.net.discovery import Watch
-from birchstack.net.front import Front
+from birchstack.net.front import ClientServer
 from birchstack.net.machine import Machine
 from birchstack.net.notices import Notices
 
@@ -218,50 +218,55 @@
 
 
 @pytest.fixture
-def front():
-    """A Front on a real event loop. Its clients are blocking sockets: the loop runs only in front.turn()."""
+def client_server():
+    """A ClientServer whose clients are blocking sockets: the event loop runs only in client_server.turn()."""
 
     async def make():
-        front = Front(
+        client_server = ClientServer(
             asyncio.get_running_loop(),
             {"sync": 20000.0},
             40,
             lambda destination: True,
-            lambda handed: handed.reply("taken"),
+            lambda request: request.reply("accepted"),
         )
-        await front.open(Machine(), ("127.0.0.1", 0))
-        return front
+        await client_server.open(Machine(), ("127.0.0.1", 0))
+        return client_server
 
     with asyncio.Runner() as runner:
-        front = runner.run(make())
+        client_server = runner.run(make())
 
         async def turn(what=lambda: None):
             what()
             await asyncio.sleep(0.02)
 
-        front.turn = lambda *what: runner.run(turn(*what))
-        front.client = lambda: socket.create_connection(front._server.sockets[0].getsockname(), timeout=2.0)
-        yield front
+        client_server.turn = lambda *what: runner.run(turn(*what))
+        client_server.client = lambda: socket.create_connection(
+            client_server._listener.sockets[0].getsockname(), timeout=2.0
+        )
+        yield client_server
 
 
-def test_clients_in_the_backlog_are_accepted_before_the_listener_is_closed(front):
-    clients = [front.client() for _ in range(40)]
+def test_clients_in_the_backlog_are_accepted_before_the_listener_is_closed(client_server):
+    clients = [client_server.client() for _ in range(40)]
     for client in clients:
         client.sendall(post("d1"))
-    front.turn(lambda: (front.close(), front.shut()))  # before the loop has accepted them
+    # before the loop has accepted them
+    client_server.turn(lambda: (client_server.close(), client_server.stop_listening()))
     for _ in range(5):
-        front.turn()
+        client_server.turn()
     assert all(client.recv(99).startswith(b"HTTP/1.1 202") for client in clients)
-    assert not front._server.is_serving()
+    assert not client_server._listener.is_serving()
 
 
-def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_an_end_of_stream_not_a_reset(front):
-    client = front.client()
-    front.turn()
-    (idle,) = front._clients
-    front.turn(idle.overdue)
+def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_an_end_of_stream_not_a_reset(
+    client_server,
+):
+    client = client_server.client()
+    client_server.turn()
+    (idle,) = client_server._clients
+    client_server.turn(idle.on_deadline)
     client.sendall(post("d1"))
-    front.turn()
+    client_server.turn()
     assert client.recv(99) == b""  # no ConnectionResetError, so the client may send it again
 
 
@@ -282,18 +287,18 @@
             lambda call, outcome: ends.append(outcome.kind),
         )
         with socket.create_server(("127.0.0.1", 0)) as door:
-            calls.move("s-1", door.getsockname())
+            calls.set_address("s-1", door.getsockname())
             call = Call("d1", 0, "s-1", b"x", 5000.0)
             assert not calls.begin(call)
             await connected.wait()
-            calls.go(call, True)
+            calls.write_or_cancel(call, True)
             endpoint, _ = door.accept()
             endpoint.recv(999)
             endpoint.sendall(answer(503))
-            line = calls._busy["d1"]
-            while not line._link.unread():  # the answer is here, and the loop has not run since
+            connection = calls._busy["d1"]
+            while not connection._link.unread_bytes():  # the answer is here, and the loop has not run since
                 pass
-            line._timed_out()
+            connection._timed_out()
             await until(lambda: ends)
             endpoint.close()
         assert ends == [our.FULL]  # a refusal, not a time-out, which would leave it in doubt
@@ -362,7 +367,7 @@
     async def __aexit__(self, *problem):
         self.node._watch.stop()
         self.node._calls.close()
-        self.node._front._server.close()
+        self.node._client_server._listener.close()
         self.node._door.close()
         for each in self._servers:
             each.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 from fake import OK_200, answer, play, post, read_message
 
 from birchstack.net.machine import PAUSE_S, Listener
-from birchstack.net.room import RESERVE, shares
+from birchstack.net.room import RESERVED, divide
 
 DESCRIPTOR_LIMIT = 100
 
@@ -139,7 +139,7 @@
         )
         assert (
             acted < 6.0
-            and before + 12 <= RESERVE
+            and before + 12 <= RESERVED
             and traffic.most < DESCRIPTOR_LIMIT
             and traffic.slowest < 1.0
         )
@@ -202,11 +202,14 @@
 @pytest.mark.parametrize("slots", [1, 8, 60, 1000])
 def test_the_shares_and_the_reserve_fit(slots):
     for descriptors in range(64, 5000):
-        room = shares(descriptors, slots)
-        assert RESERVE + room.clients + 2 * room.coming + room.callers + room.idle + room.slots <= descriptors
-        assert min(room.clients, room.slots, room.idle, room.callers) >= min(slots, 4)
+        shares = divide(descriptors, slots)
+        assert (
+            RESERVED + shares.clients + 2 * shares.accepting + shares.operators + shares.idle + shares.slots
+            <= descriptors
+        )
+        assert min(shares.clients, shares.slots, shares.idle, shares.operators) >= min(slots, 4)
         # calls have priority over clients
-        assert room.slots == slots or room.clients <= max(descriptors // 4, 8)
+        assert shares.slots == slots or shares.clients <= max(descriptors // 4, 8)
 
 
 def test_operators_that_do_not_close_after_the_answer_use_no_more_than_their_share(tmp_path):
@@ -218,8 +221,8 @@
             writer.write(b"GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n")
             assert (await read_message(reader))[0][9:12] == "200"
             unclosed.append(writer)  # the client does not close its side
-        room = shares(DESCRIPTOR_LIMIT, 4)
-        assert descriptors_of(world.process) <= before + room.callers + 4 < before + len(unclosed)
+        shares = divide(DESCRIPTOR_LIMIT, 4)
+        assert descriptors_of(world.process) <= before + shares.operators + 4 < before + len(unclosed)
         assert (await world.hand_in("d1"))[0] == 202
         for each in unclosed:
             each.close()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -27,9 +27,9 @@
     ],
 )
 def test_requests_are_parsed_however_they_are_split(step, text, body):
-    heads, read_body, ends = read(http1.Requests(), text + b"\r\n" + text, step)
+    heads, read_body, ends = read(http1.RequestReader(), text + b"\r\n" + text, step)
     assert (len(heads), read_body, ends) == (2, body * 2, 2)
-    assert heads[0].path == "/sync" and heads[0].keep and heads[0].fields["host"] == "a"
+    assert heads[0].path == "/sync" and heads[0].keep_alive and heads[0].fields["host"] == "a"
 
 
 @pytest.mark.parametrize(
@@ -65,8 +65,8 @@
     ],
 )
 def test_requests_that_are_malformed_or_beyond_a_limit(text, status):
-    with pytest.raises(http1.Malformed) as problem:
-        [*http1.Requests().feed(text)]
+    with pytest.raises(http1.MalformedError) as problem:
+        [*http1.RequestReader().feed(text)]
     assert problem.value.status == status
 
 
@@ -74,8 +74,8 @@
     "fields, keep", [("", True), ("Connection: close\r\n", False), ("connection: x, Close\r\n", False)]
 )
 def test_connections_persist_unless_one_side_says_close(fields, keep):
-    heads, _, _ = read(http1.Requests(), HEAD + fields.encode() + b"\r\n", 100)
-    assert heads[0].keep is keep
+    heads, _, _ = read(http1.RequestReader(), HEAD + fields.encode() + b"\r\n", 100)
+    assert heads[0].keep_alive is keep
 
 
 @pytest.mark.parametrize(
@@ -97,10 +97,10 @@
 )
 @pytest.mark.parametrize("step", [1, 500])
 def test_responses_are_parsed_however_they_are_split(text, status, keep, ends, step):
-    reader = http1.Responses()
+    reader = http1.ResponseReader()
     heads, _, ended = read(reader, text, step)
-    assert (heads[0].status, heads[0].keep, ended) == (status, keep, ends)
-    assert reader.ended() is (ends == 0)
+    assert (heads[0].status, heads[0].keep_alive, ended) == (status, keep, ends)
+    assert reader.complete_at_end() is (ends == 0)
 
 
 @pytest.mark.parametrize(
@@ -118,8 +118,8 @@
     ],
 )
 def test_malformed_responses(text):
-    with pytest.raises(http1.Malformed):
-        [*http1.Responses().feed(text)]
+    with pytest.raises(http1.MalformedError):
+        [*http1.ResponseReader().feed(text)]
 
 
 @pytest.mark.parametrize(
@@ -137,20 +137,20 @@
     ],
 )
 def test_a_status_line_counts_before_its_head_is_complete(text, status):
-    reader = http1.Responses()
-    with contextlib.suppress(http1.Malformed):
+    reader = http1.ResponseReader()
+    with contextlib.suppress(http1.MalformedError):
         [*reader.feed(text)]
-    assert reader.told == status
+    assert reader.status == status
 
 
 def test_a_response_is_returned_before_bytes_after_it_are_parsed():
-    events = http1.Responses().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n\0noise")
+    events = http1.ResponseReader().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n\0noise")
     assert [next(events).status, next(events)] == [200, http1.END]
 
 
 def test_encoded_messages_are_parsed_back():
     text = http1.request("POST", "/hook", "h:1", {"Request-Id": "d"}, b"\0body")
-    heads, body, ends = read(http1.Requests(), text, 3)
+    heads, body, ends = read(http1.RequestReader(), text, 3)
     assert (heads[0].fields["request-id"], body, ends) == ("d", b"\0body", 1)
-    heads, _, _ = read(http1.Responses(), http1.response(429, {"Retry-After": "1.5"}, close=True), 3)
-    assert (heads[0].status, heads[0].fields["retry-after"], heads[0].keep) == (429, "1.5", False)
+    heads, _, _ = read(http1.ResponseReader(), http1.response(429, {"Retry-After": "1.5"}, close=True), 3)
+    assert (heads[0].status, heads[0].fields["retry-after"], heads[0].keep_alive) == (429, "1.5", False)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,19 +10,19 @@
 from birchstack import interface as our
 from birchstack.net import sender as module
 from birchstack.net.config import decode
-from birchstack.net.front import CLOSED, TAKEN
+from birchstack.net.front import ACCEPTED, UNAVAILABLE
 from birchstack.net.ledger import Ledger
 
 
-class Handed:
+class FakeRequest:
     """A document that is submitted without a client connection."""
 
     type, destination, key, repeat_key, tenant, body = "sync", 1, None, None, None, b"x"
 
     def __init__(self, doc_id="d", left_ms=5000.0, gone=False):
-        self.id, self.left_ms, self._gone, self.replies, self.again = doc_id, left_ms, gone, [], []
+        self.id, self.left_ms, self._gone, self.replies, self.duplicates = doc_id, left_ms, gone, [], []
 
-    def told(self):
+    def age_and_gone(self):
         return 40.0, self._gone
 
     def reply(self, verdict, wait_ms=0.0, close=False):
@@ -52,12 +52,12 @@
 
 def test_a_submission_from_elsewhere_is_answered_by_its_verdict(node):
     async def story():
-        handed, gone = Handed(), Handed("e", gone=True)
-        node._events += [(node._accept, handed), (node._accept, gone)]
+        request, gone = FakeRequest(), FakeRequest("e", gone=True)
+        node._events += [(node._accept, request), (node._accept, gone)]
         node._turn()
         node._log_state()
-        assert handed.replies == [(TAKEN, 0.0)] and gone.replies == [(CLOSED, 0.0)]
-        assert [*node._ledger.owed] == ["d"] and handed.left_ms == 4960.0
+        assert request.replies == [(ACCEPTED, 0.0)] and gone.replies == [(UNAVAILABLE, 0.0)]
+        assert [*node._ledger.owed] == ["d"] and request.left_ms == 4960.0
 
     node.run(story)
 
@@ -65,17 +65,17 @@
 def test_an_exception_while_a_document_is_submitted_refuses_it_and_holds_nothing(node):
     async def story():
         node._core.document = fault
-        handed = Handed()
-        node._events.append((node._accept, handed))
+        request = FakeRequest()
+        node._events.append((node._accept, request))
         node._turn()
-        assert handed.replies == [(CLOSED, 3000.0)] and not node._ledger.owed and node.broken
+        assert request.replies == [(UNAVAILABLE, 3000.0)] and not node._ledger.owed and node.broken
 
     node.run(story)
 
 
 def test_a_document_left_unended_past_its_expiry_is_abandoned(node):
     async def story():
-        node._events.append((node._accept, Handed(left_ms=300.0)))
+        node._events.append((node._accept, FakeRequest(left_ms=300.0)))
         node._turn()
         node._core.turn = fault
         time.sleep(0.5)  # the process stalls
@@ -91,11 +91,11 @@
 def test_a_ledger_that_cannot_be_written_accepts_and_sends_nothing(node, monkeypatch):
     async def story():
         monkeypatch.setattr(node._ledger, "take", lambda *words: (_ for _ in ()).throw(OSError("full")))
-        handed = Handed()
-        node._events.append((node._accept, handed))
+        request = FakeRequest()
+        node._events.append((node._accept, request))
         node._turn()
         node._turn()
-        assert handed.replies == [(CLOSED, 3000.0)] and not node._core._held and not len(node._calls)
+        assert request.replies == [(UNAVAILABLE, 3000.0)] and not node._core._held and not len(node._calls)
         assert node._core._out == 0
 
     node.run(story)
@@ -123,12 +123,12 @@
 def test_remembered_answers_are_bounded_and_ended_documents_leave_nothing_else(node):
     async def story():
         for number in range(5000):
-            handed = Handed(f"d{number}", left_ms=40.0 if number % 2 else 20000.0)
-            node._events.append((node._accept, handed))
+            request = FakeRequest(f"d{number}", left_ms=40.0 if number % 2 else 20000.0)
+            node._events.append((node._accept, request))
             node._turn()
-            node._enqueue(node._core.withdrawn, handed.id)
-            if handed.id in node._ledger.owed:
-                node._ledger.done(node._ledger.owed[handed.id])
+            node._enqueue(node._core.withdrawn, request.id)
+            if request.id in node._ledger.owed:
+                node._ledger.done(node._ledger.owed[request.id])
         node._turn()
         assert len(node._answers) <= 4096 and not node._ledger.owed and not node._core._held
         assert len(node._core._ends) < 5000 and not node._pending and not node._starting
@@ -153,7 +153,7 @@
     async def story():
         kind = our.DocumentType("order", our.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False)
         node._core.adopt(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
-        node._front.types["order"], wall = 20000.0, node._lasting.ms()
+        node._client_server.types["order"], wall = 20000.0, node._lasting.ms()
         owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
         node._ledger.call(owed, "a", wall - 700.0)  # in flight when its process ended
         node._ledger.close()
@@ -163,8 +163,8 @@
         turn, written_calls = node._core.turn, []
         # a long turn: many documents, a slow processor
         node._core.turn = lambda now: (turn(now), time.sleep(0.4))
-        node._calls.begin = node._calls.waiting = lambda call: True
-        node._calls.go = lambda call, may_write: written_calls.append(may_write)
+        node._calls.begin = node._calls.can_write = lambda call: True
+        node._calls.write_or_cancel = lambda call, may_write: written_calls.append(may_write)
         node._turn()
         assert written_calls == [written]
 
@@ -186,7 +186,7 @@
             steady += 400.0
 
         node._core.turn = long_turn
-        node._events.append((node._accept, Handed(left_ms=5040.0)))
+        node._events.append((node._accept, FakeRequest(left_ms=5040.0)))
         node._turn()
         assert steady == 5_000_400.0
         assert node._ledger.owed["d"].expiry == pytest.approx(began + 5000.0, rel=0.0, abs=0.001)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -7,7 +7,7 @@
 from fake import config
 
 from birchstack.net import log
-from birchstack.net.calls import kind_of, report_of
+from birchstack.net.calls import classify_response, parse_load_report
 from birchstack.net.config import ConfigError, decode, load
 from birchstack.net.discovery import entries
 from birchstack.net.http1 import Response
@@ -109,7 +109,7 @@
     ],
 )
 def test_how_responses_map_to_outcomes(status, fields, outcome):
-    assert kind_of(Response(status, fields, True)) == outcome
+    assert classify_response(Response(status, fields, True)) == outcome
 
 
 @pytest.mark.parametrize(
@@ -126,7 +126,7 @@
     ],
 )
 def test_load_reports(text, report):
-    assert report_of(Response(200, {"server-load": text} if text else {}, True)) == report
+    assert parse_load_report(Response(200, {"server-load": text} if text else {}, True)) == report
 
 
 def test_an_entry_of_the_endpoint_list():
