--- a/birchstack/net/audit.py
+++ b/birchstack/net/audit.py
@@ -29,16 +29,16 @@
 class AuditLog(Protocol):
     """Records what a sender acts on, before it does, and passes signals on where they are enabled."""
 
-    def start(self, holds: bool) -> None:
+    def start(self, holds_folder: bool) -> None:
         """The process starts; called before it acts, and again when it takes the folder over.
 
-        holds: whether this process holds the folder.
+        holds_folder: whether this process holds the folder.
         """
 
     def record_settings(self, config: Config, source: str) -> None:
         """The settings are about to be applied."""
 
-    def record_list(self, told: dict, source: str) -> bool:
+    def record_list(self, listing: dict, source: str) -> bool:
         """A valid list of endpoints, or a change to it, is about to be applied. False: keep the old list."""
 
     def record_turn(self, calls: list[tuple[str, str]], refused: list[str], failed: list[str]) -> None:
--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -55,13 +55,13 @@
     """One transmission of a document to an endpoint."""
 
     doc_id: str
-    number: int
+    number: int  # counts the transmissions of the document
     endpoint: str
     body: bytes
     timeout_ms: float  # time-out, counted from when the call is written
     repeat_key: str | None = None  # sent with every transmission if the client sent one (Idempotency-Key)
-    started: float = 0.0  # when it was decided
-    written: float = 0.0
+    started: float = 0.0  # when it was decided, on the clock of Calls
+    written: float = 0.0  # when it was written
     destination: int = -1
 
 
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -24,7 +24,7 @@
 MAX_DESTINATIONS = 16  # read in one turn
 MAX_READ = 32  # documents read of each of them
 MAX_OVERDUE = 64  # overdue documents read in one turn
-LAST_MS = CALL_MS - 1.0  # this long before the expiry, the decision logic surely starts no transmission
+NO_CALL_MS = CALL_MS - 1.0  # this long before the expiry, the decision logic surely starts no transmission
 RETRY_S = 0.5  # after a disk error
 MAX_TIMER_S = 86400.0  # asyncio's timers accept no more than days
 log = logging.getLogger(__name__)
@@ -58,19 +58,19 @@
     def fits(self, sizes: list[int]) -> bool:
         """True if bodies of these sizes can be added."""
 
-    def append(self, kept: StoredDocument) -> None:
+    def append(self, document: StoredDocument) -> None:
         """Adds a document behind the others of its destination."""
 
     def holds(self, doc_id: str) -> bool:
         """True if the document is here."""
 
-    def read(self, destination: int, most: int) -> list[StoredDocument]:
+    def read(self, destination: int, limit: int) -> list[StoredDocument]:
         """Reads the first documents of a destination; they stay until moved()."""
 
     def moved(self, destination: int, count: int) -> None:
         """Removes the first documents of a destination: the ledger has them."""
 
-    def due(self, now: float, most: int) -> list[StoredDocument]:
+    def due(self, now: float, limit: int) -> list[StoredDocument]:
         """Reads documents that expire by the given time; they stay until ended()."""
 
     def ended(self, ids: list[str]) -> None:
@@ -111,8 +111,8 @@
 class Overflow:
     """Moves documents between the store and the ledger.
 
-    turn() is called in each turn of the sender. adopt(now, owed, tenant) submits a document that was read
-    back to the decision logic; soon() schedules another turn.
+    turn() is called in each turn of the sender. submit(now, owed, tenant) submits a document that was read
+    back to the decision logic; schedule_turn() schedules another turn.
     """
 
     def __init__(
@@ -122,14 +122,14 @@
         core: Sender,
         wall: float,
         loop: asyncio.AbstractEventLoop,
-        adopt: Callable[[float, Owed, str | None], object],
-        soon: Callable[[], None],
+        submit: Callable[[float, Owed, str | None], object],
+        schedule_turn: Callable[[], None],
     ) -> None:
         self._store, self._window, self._make_document = opened
         self._ledger = ledger
         self._core = core
-        self._submit = adopt
-        self._schedule_turn = soon
+        self._submit = submit
+        self._schedule_turn = schedule_turn
         self._loop = loop
         self._started_at = wall
         self._store.drop([*ledger.ended, *ledger.owed])
@@ -226,7 +226,7 @@
             return
         if more or self._to_read or self._housekeeping_due:
             self._loop.call_soon(self._schedule_turn)  # a pass later, so that other work is not held up
-        due_s = (self._store.next_due() - LAST_MS - wall) / 1000.0
+        due_s = (self._store.next_due() - NO_CALL_MS - wall) / 1000.0
         if due_s < MAX_TIMER_S:
             self._timer = self._loop.call_later(max(0.0, due_s), self._schedule_turn)
 
@@ -241,15 +241,15 @@
 
         Returns whether there may be more of them.
         """
-        overdue = self._store.due(wall + LAST_MS, MAX_OVERDUE)
-        for kept in overdue:
-            self._move(kept)
+        overdue = self._store.due(wall + NO_CALL_MS, MAX_OVERDUE)
+        for document in overdue:
+            self._move(document)
         if overdue:
-            self._store.ended([kept.id for kept in overdue])
+            self._store.ended([document.id for document in overdue])
             self._housekeeping_due = True
-        for kept in overdue:
-            self._submit_moved(now, kept)
-            self._forget_if_empty(kept.destination)
+        for document in overdue:
+            self._submit_moved(now, document)
+            self._forget_if_empty(document.destination)
         return len(overdue) == MAX_OVERDUE
 
     def _forget_if_empty(self, destination: int) -> None:
@@ -263,27 +263,33 @@
 
     def _read(self, now: float, destination: int) -> int:
         """Moves and submits as many documents of a destination as there is room for; returns how many."""
-        most = min(MAX_READ, self._room(destination))
+        limit = min(MAX_READ, self._room(destination))
         moved: list[StoredDocument] = []
-        for kept in self._store.read(destination, most) if most > 0 else ():
-            if not self._ledger.fits([len(kept.body)]):
+        for document in self._store.read(destination, limit) if limit > 0 else ():
+            if not self._ledger.fits([len(document.body)]):
                 break
-            self._move(kept)
-            moved.append(kept)
+            self._move(document)
+            moved.append(document)
         if moved:
             self._store.moved(destination, len(moved))
             self._housekeeping_due = True
-        for kept in moved:
-            self._submit_moved(now, kept)
+        for document in moved:
+            self._submit_moved(now, document)
         self._forget_if_empty(destination)
         return len(moved)
 
-    def _move(self, kept: StoredDocument) -> None:
+    def _move(self, document: StoredDocument) -> None:
         """Writes a document of the store to the ledger."""
         owed = self._ledger.take(
-            kept.id, kept.type, kept.destination, kept.key, kept.expiry, kept.body, kept.repeat_key
+            document.id,
+            document.type,
+            document.destination,
+            document.key,
+            document.expiry,
+            document.body,
+            document.repeat_key,
         )
-        owed.found = kept.taken < self._started_at
+        owed.found = document.taken < self._started_at
 
-    def _submit_moved(self, now: float, kept: StoredDocument) -> None:
-        self._submit(now, self._ledger.owed[kept.id], kept.tenant)
+    def _submit_moved(self, now: float, document: StoredDocument) -> None:
+        self._submit(now, self._ledger.owed[document.id], document.tenant)
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -29,7 +29,7 @@
 from birchstack.net.operators import Calls as OperatorCalls
 from birchstack.net.overflow import Overflow, StoreFactory
 from birchstack.net.recollection import Recollection
-from birchstack.net.room import divide, limit_to_descriptors
+from birchstack.net.room import divide_descriptors, limit_to_descriptors
 from birchstack.net.tally import Tally
 
 # Graceful shutdown, in seconds after SIGTERM
@@ -67,7 +67,7 @@
         self._core = Sender(config.settings, config.seed, self)
         self._holds_lock = folder.lock(LOCK_NAME)  # False: another process of this sender holds it and sends
         self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds_lock else self._machine.unique())
-        shares = divide(config.sockets, config.settings.slots)
+        shares = divide_descriptors(config.sockets, config.settings.slots)
         self._calls = Calls(
             loop,
             self.clock,
@@ -194,8 +194,8 @@
         doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
         past = our.Past(owed.sent, owed.failed, doubt) if owed.found else our.NO_PAST
         left_ms = owed.due - now
-        given = our.Submission(owed.id, owed.destination, owed.type, left_ms, owed.key, past, tenant)
-        self._core.document(now, given)
+        submission = our.Submission(owed.id, owed.destination, owed.type, left_ms, owed.key, past, tenant)
+        self._core.document(now, submission)
 
     def _check_lock(self) -> None:
         """Takes the folder over once the process that holds it has ended; the holder adopts left files.
@@ -368,7 +368,7 @@
         else:
             request.left_ms -= age
             self._pending[request.id] = request
-            given = our.Submission(
+            submission = our.Submission(
                 request.id,
                 request.destination,
                 request.type,
@@ -376,7 +376,9 @@
                 request.key,
                 tenant=request.tenant,
             )
-            if not self._guarded(self._core.document, now, given) and self._pending.pop(request.id, None):
+            if not self._guarded(self._core.document, now, submission) and self._pending.pop(
+                request.id, None
+            ):
                 self._guarded(self._core.withdrawn, now, request.id)
                 self._answer(request, UNAVAILABLE, advice_ms)
 
@@ -418,7 +420,7 @@
                 owed.due = now + request.left_ms
                 self._answer(request, ACCEPTED)
         starting, self._starting = self._starting, {}
-        leaving = []
+        approved = []
         for call in starting.values():
             owed = self._ledger.owed.get(call.doc_id)
             if not holds(
@@ -429,12 +431,12 @@
                 continue
             call.body = owed.body
             call.repeat_key = owed.repeat_key
-            leaving.append(call)
+            approved.append(call)
         refused, failed = self._tally.take_ended()
-        if self._audit and (leaving or refused or failed):
-            self._audit.record_turn([(call.doc_id, call.endpoint) for call in leaving], refused, failed)
+        if self._audit and (approved or refused or failed):
+            self._audit.record_turn([(call.doc_id, call.endpoint) for call in approved], refused, failed)
         connected, self._connected = self._connected, []
-        for call in [*connected, *(each for each in leaving if self._calls.begin(each))]:
+        for call in [*connected, *(each for each in approved if self._calls.begin(each))]:
             self._calls.write_or_cancel(call, self._may_write(self.clock(), call))
 
     def _may_write(self, now: float, call: Call) -> bool:
@@ -621,31 +623,31 @@
         lower limits apply to what comes next.
         """
         try:
-            fresh = limit_to_descriptors(load(again=True), self._machine.descriptors())
+            reloaded = limit_to_descriptors(load(again=True), self._machine.descriptors())
             self._turn()  # submissions so far are accepted under the old settings
             held = {owed.type for owed in self._ledger.owed.values() if owed.notice is None}
-            fits(fresh, self._config, held, self._list.last_kind())
+            fits(reloaded, self._config, held, self._list.last_kind())
         except ConfigError as problem:
             say(log, "configuration not taken over", logging.ERROR, problem=problem)
             self._reloads[1] += 1
             return
         self._reloads[0] += 1
-        self._config, changed, waits = take_over(fresh, self._config)
-        self._client_server.types = {kind.name: kind.expiry_ms for kind in fresh.settings.types}
-        self._calls.idle_ms = fresh.idle_ms
-        self._calls.dial_ms = fresh.dial_ms
+        self._config, changed, needs_restart = take_over(reloaded, self._config)
+        self._client_server.types = {kind.name: kind.expiry_ms for kind in reloaded.settings.types}
+        self._calls.idle_ms = reloaded.idle_ms
+        self._calls.dial_ms = reloaded.dial_ms
         if self._audit:
             self._audit.record_settings(self._config, "reload")
         if changed:
-            self._enqueue(self._core.adopt, fresh.settings)
-        self._watch.move(fresh.discovery, fresh.kinds)
-        self._notices.move(fresh.discovery)
+            self._enqueue(self._core.adopt, reloaded.settings)
+        self._watch.move(reloaded.discovery, reloaded.kinds)
+        self._notices.move(reloaded.discovery)
         say(
             log,
             "configuration taken over",
-            discovery="{}:{}".format(*fresh.discovery),
+            discovery="{}:{}".format(*reloaded.discovery),
             settings=",".join(changed) or "unchanged",
-            needs_restart=",".join(waits) or "nothing",
+            needs_restart=",".join(needs_restart) or "nothing",
         )
 
     def close(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 from fake import OK_200, answer, play, post, read_message
 
 from birchstack.net.machine import PAUSE_S, Listener
-from birchstack.net.room import RESERVED, divide
+from birchstack.net.room import RESERVED_DESCRIPTORS, divide_descriptors
 
 DESCRIPTOR_LIMIT = 100
 
@@ -139,7 +139,7 @@
         )
         assert (
             acted < 6.0
-            and before + 12 <= RESERVED
+            and before + 12 <= RESERVED_DESCRIPTORS
             and traffic.most < DESCRIPTOR_LIMIT
             and traffic.slowest < 1.0
         )
@@ -202,9 +202,14 @@
 @pytest.mark.parametrize("slots", [1, 8, 60, 1000])
 def test_the_shares_and_the_reserve_fit(slots):
     for descriptors in range(64, 5000):
-        shares = divide(descriptors, slots)
+        shares = divide_descriptors(descriptors, slots)
         assert (
-            RESERVED + shares.clients + 2 * shares.accepting + shares.operators + shares.idle + shares.slots
+            RESERVED_DESCRIPTORS
+            + shares.clients
+            + 2 * shares.accepting
+            + shares.operators
+            + shares.idle
+            + shares.slots
             <= descriptors
         )
         assert min(shares.clients, shares.slots, shares.idle, shares.operators) >= min(slots, 4)
@@ -221,7 +226,7 @@
             writer.write(b"GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n")
             assert (await read_message(reader))[0][9:12] == "200"
             unclosed.append(writer)  # the client does not close its side
-        shares = divide(DESCRIPTOR_LIMIT, 4)
+        shares = divide_descriptors(DESCRIPTOR_LIMIT, 4)
         assert descriptors_of(world.process) <= before + shares.operators + 4 < before + len(unclosed)
         assert (await world.hand_in("d1"))[0] == 202
         for each in unclosed:
