--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -59,9 +59,8 @@
 
 def main() -> int:
     """Runs the sender until it is told to end. Returns the exit status: 2 if the configuration is wrong."""
-    signal.pthread_sigmask(
-        signal.SIG_BLOCK, [signal.SIGHUP]
-    )  # until the event loop handles it: its default action would end the process
+    # Blocked until the event loop handles it: its default action would end the process
+    signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
     log.start()
     try:
         config, audit = _audit_log(load())
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -64,7 +64,7 @@
         self._started_at = loop.time()
         folder = self._folder = self._machine.folder(config.state)
         self._lasting = LastingClock(self._machine, folder)
-        self._core = Sender(config.settings, config.seed, self)
+        self._core = Sender(config.settings, config.seed, self)  # the decision logic
         self._holds_lock = folder.lock(LOCK_NAME)  # False: another process of this sender holds it and sends
         self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds_lock else self._machine.unique())
         shares = divide_descriptors(config.sockets, config.settings.slots)
@@ -89,12 +89,12 @@
         self._connected: list[Call] = []  # calls whose connection is established, to write at the turn's end
         self._answers: dict[str, tuple[str, float]] = {}  # by document id, for ids that are submitted again
         self._by_hand = ByHand(folder, self._lasting.ms)
-        self._recalled = self._recollection() if self._holds_lock else None
+        self._recollection = self._load_recollection() if self._holds_lock else None
         self._tally = Tally()
         self._reloads = [0, 0]  # configurations applied and rejected
         self._turn_due = False
         self._last_turn_at = 0.0
-        self._alarm: asyncio.TimerHandle | None = None
+        self._wake_timer: asyncio.TimerHandle | None = None
         self._closing_at: float | None = None
         self._ready = False
         self._handing_over = False  # another process waits to send what this one holds
@@ -169,7 +169,7 @@
                 self._schedule_turn,
             )
 
-    def _recollection(self) -> Recollection:
+    def _load_recollection(self) -> Recollection:
         """Reads what the folder, now held by this process, says about endpoints."""
         if not self._lasting.kept:
             self._ledger.begin_recoveries_anew(self._lasting.ms())
@@ -177,7 +177,7 @@
 
     def _recall(self, listed: Iterable[our.Endpoint]) -> None:
         """Reports known recoveries and waits of endpoints, after the list with them and before documents."""
-        for recalled in self._recalled.of(self._lasting.ms(), listed):
+        for recalled in self._recollection.of(self._lasting.ms(), listed):
             if recalled.recovery:
                 self._events.append((self._core.recover, recalled.recovery))
             if recalled.wait_ms > 0.0:
@@ -230,7 +230,7 @@
             entries = [self._by_hand.as_told(entry) for entry in listed]
             self._events.append((self._core.endpoints, mode, entries))
         self._deferred_lists.clear()
-        self._recalled = self._recollection()
+        self._recollection = self._load_recollection()
         self._recall(self._list.entries.values())
         self._recover(self._ledger.owed)
         say(log, "holds the folder", owed=len(self._ledger.owed))
@@ -250,9 +250,9 @@
     def _on_document(self, request: ClientRequest) -> None:
         self._enqueue(self._accept, request)
 
-    def _may_apply_list(self, told: dict, source: str) -> bool:
+    def _may_apply_list(self, listing: dict, source: str) -> bool:
         """Shows a list from discovery to the audit log; False if it must not be applied."""
-        return self._audit is None or self._audit.record_list(told, source)
+        return self._audit is None or self._audit.record_list(listing, source)
 
     def _on_list(self, mode: str, listed: list) -> None:
         self._list.apply(mode, listed)
@@ -275,8 +275,8 @@
             self._tally.count_delivered(owed.type)
             if self.clock() < owed.due - EXPIRY_MARGIN_MS:
                 self._ledger.done(owed)
-            else:  # the platform may count it as expired: it also gets a notice,
-                self._ledger.notice(owed, "dead", 0.0)  # which does no harm to a document that is delivered
+            else:  # the platform may count it as expired: it also gets a notice, harmless if it does not
+                self._ledger.notice(owed, "dead", 0.0)
                 self._notices.tell(owed.id, "dead", 0.0)
 
     def _on_call_end(self, call: Call, outcome: our.Outcome) -> None:
@@ -528,11 +528,11 @@
         """Schedules a turn; a turn scheduled for later is cancelled, as only the next one is asked for."""
         now = self._loop.time()
         when = now + after_ms / 1000.0
-        if self._alarm and now < self._alarm.when() <= when:
+        if self._wake_timer and now < self._wake_timer.when() <= when:
             return
-        if self._alarm:
-            self._alarm.cancel()
-        self._alarm = self._loop.call_at(when, self._schedule_turn)
+        if self._wake_timer:
+            self._wake_timer.cancel()
+        self._wake_timer = self._loop.call_at(when, self._schedule_turn)
 
     def subscribe(self) -> None:
         """Does nothing: the watch is always open, and reopens by itself."""
