--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -30,7 +30,7 @@
 
 
 def classify_response(answer: http1.Response) -> tuple[str, bool, float]:
-    """Maps a response to its outcome: the kind, whether the document has ended, and the wait told in ms."""
+    """Maps a response to its outcome: the kind, whether the document has ended, and the requested wait in ms."""
     if answer.status == 200:
         return our.OK, True, 0.0
     if answer.status == 429:
@@ -103,7 +103,7 @@
         return self._call is call and self._link is not None and not self._written
 
     def stale(self) -> bool:
-        """True if the endpoint has closed an idle connection already, or sent bytes that nobody asked for."""
+        """True if the endpoint has closed an idle connection already, or sent unsolicited bytes."""
         return (
             self._link is None
             or self._link.closed
@@ -156,7 +156,7 @@
 
     def received(self, data: memoryview) -> None:
         """Parses the response, and ends the call once that is complete or malformed."""
-        if self._call is None:  # bytes on an idle connection: nobody asked
+        if self._call is None:  # unsolicited bytes on an idle connection
             self._calls.discard(self)
             return
         if not self._written:  # cannot be the answer to a call that is not written yet
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -99,7 +99,7 @@
         self._ready = False
         self._handing_over = False  # another process waits to send what this one holds
         self._deferred_lists: list[tuple[str, list]] = []  # received while another process holds the folder
-        self._signals_live = False  # whether the decision logic was told that signals of other senders arrive
+        self._signals_live = False  # what the decision logic was last told: signals of other senders arrive
         self._audit = audit(config, self._machine, folder, self._status, self._on_signals) if audit else None
         operator_calls = OperatorCalls(
             self._readiness,
@@ -443,7 +443,7 @@
         """Checks a call again just before it is written, and records it in the ledger first.
 
         A call takes effect when it is written, so the state at that moment counts. Guards against a
-        connection that is established late: meanwhile the endpoint may have told a wait, been drained,
+        connection that is established late: meanwhile the endpoint may have asked for a wait, been drained,
         removed or moved, the document may have ended, or this process may have been told to stop. Cost: the
         connection is closed, and the next call to the endpoint dials again.
         """
@@ -510,7 +510,7 @@
         if holds(owed and owed.notice is None, "a document ends exactly once"):
             if owed.found and not owed.sent:  # found at a restart and never transmitted
                 why = why or (
-                    "it expired, or its endpoints told to wait"
+                    "it expired, or its endpoints asked to wait"
                     if self._list.ready(owed.destination)
                     else "no endpoint is ready"
                 )
@@ -559,7 +559,7 @@
             return
         self._update_signals()
         for report in reports:
-            if report.wait_ms > 0.0:  # kept over a restart like a wait that this sender was told
+            if report.wait_ms > 0.0:  # kept over a restart, like a wait asked of this sender
                 self._ledger.told(report.endpoint, self._lasting.ms() + report.wait_ms)
             self._enqueue(self._core.reported, report)
 
