--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -30,7 +30,7 @@
 
 
 def classify_response(answer: http1.Response) -> tuple[str, bool, float]:
-    """Maps a response to its outcome: the kind, whether the document has ended, and the requested wait in ms."""
+    """Maps a response to its outcome: kind, whether the document has ended, and the requested wait in ms."""
     if answer.status == 200:
         return our.OK, True, 0.0
     if answer.status == 429:
