--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -114,7 +114,7 @@
 
     # What the decisions ask for
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         doc, seen = self._sender._held[doc_id], self._seen
         at, which = map(int, endpoint[1:].split("-"))
         seen.all_repeats += doc.repeats > 0
@@ -128,7 +128,7 @@
             kind, ms = {
                 REFUSED: (our.CONNECT_FAILED, 1.0),
                 ERRING: (our.ERROR, ANSWER_MS),
-                SILENT: (our.TIMEOUT, patience_ms),
+                SILENT: (our.TIMEOUT, timeout_ms),
             }[self._way]
         self._later(ms, ("outcome", doc_id, endpoint, our.Outcome(kind, doc.sent - 1, ms, kind == our.OK)))
 
--- a/benchmarks/capacity/decisions.py
+++ b/benchmarks/capacity/decisions.py
@@ -45,13 +45,13 @@
     def subscribe(self) -> None:
         pass
 
-    def tell(self, note: str) -> None:
+    def broadcast(self, note: str) -> None:
         pass
 
     def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
         pass
 
-    def remember(self, recovery: our.Recovery) -> None:
+    def save_recovery(self, recovery: our.Recovery) -> None:
         pass
 
     def log(self, text: str) -> None:
--- a/benchmarks/capacity/recoveries.py
+++ b/benchmarks/capacity/recoveries.py
@@ -55,7 +55,7 @@
     ledger = Ledger(folder, ROOM)
     read_s = time.process_time() - began
     for recalled in Recollection(ledger, ByHand(folder, lambda: 0.0)).of(60_000.0, listed):
-        sender.recover(0.0, recalled.recovery)
+        sender.restore_recovery(0.0, recalled.recovery)
     ledger.close()
     return read_s
 
--- a/benchmarks/capacity/signals.py
+++ b/benchmarks/capacity/signals.py
@@ -95,18 +95,18 @@
     def _reported(self, reports: list[our.Report]) -> None:
         self.link()
         for report in reports:
-            self.core.reported(self.fleet.now, report)
+            self.core.report_received(self.fleet.now, report)
         self.turn()
 
     def link(self) -> None:
         if self.linked != self.signalling.live():
             self.linked = not self.linked
-            self.core.linked(self.fleet.now, self.linked)
+            self.core.signals_available(self.fleet.now, self.linked)
 
     # What the decisions ask for
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
-        self.fleet.called(self, doc_id, self.core._held[doc_id], patience_ms)
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
+        self.fleet.called(self, doc_id, self.core._held[doc_id], timeout_ms)
 
     def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
         self.signalling.observed(endpoint, kind, wait_ms)
--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -61,7 +61,7 @@
         self.calls, self.number, self.alarm = [], {}, float("inf")
         self.now, self.ended = 0.0, 0
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         self.number[doc_id] = self.number.get(doc_id, -1) + 1
         self.calls.append((doc_id, endpoint))
 
@@ -78,9 +78,9 @@
 
     def subscribe(self) -> None: ...
 
-    def tell(self, note: str) -> None: ...
+    def broadcast(self, note: str) -> None: ...
 
-    def remember(self, recovery: our.Recovery) -> None: ...
+    def save_recovery(self, recovery: our.Recovery) -> None: ...
 
     def log(self, text: str) -> None: ...
 
@@ -263,7 +263,7 @@
         self.node._listed(our.WHOLE, [(endpoint(each), ("127.0.0.1", 3)) for each in range(1, listed + 1)])
         self.node._turn()
         for destination in range(1, down + 1):
-            self.node._core.recall(0.0, f"s-{destination}", DAY_MS)
+            self.node._core.restore_wait(0.0, f"s-{destination}", DAY_MS)
         for at in range(owed):
             self.hand(f"o{at}", 1 + at % down)
             if at % TOGETHER == 0:
--- a/birchstack/adapter/__init__.py
+++ b/birchstack/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: reads batches, hosts many senders that share nothing, writes replies."""
+"""Adapter to the simulator's wire: reads batches, hosts many independent senders and writes their replies."""
--- a/birchstack/adapter/__main__.py
+++ b/birchstack/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""python -m birchstack.adapter: speaks the wire on standard input and output until the input ends."""
+"""python -m birchstack.adapter: serves the simulator's wire on standard input and output."""
 
 import sys
 
--- a/birchstack/decide.py
+++ b/birchstack/decide.py
@@ -173,7 +173,7 @@
                 self._regroup(now, ep.route.destination)
             if ep.state == our.DRAINING and entry.state == READY:  # a whole list tells no return
                 ep.back_at = now
-                self._host.remember(ep.recovery(now, our.RecoveryStage.WARMING, now))
+                self._host.save_recovery(ep.recovery(now, our.RecoveryStage.WARMING, now))
             ep.state = entry.state
         for ep in [ep for ep in self._endpoints.values() if ep.state == our.GONE]:
             del self._endpoints[ep.name]
@@ -187,10 +187,10 @@
 
     def document(self, now: float, given: our.Submission) -> None:
         self._order, self._stirred = self._order + 1, True
-        dest, past, tenant = self._destination(given.destination, now), given.past, given.tenant
-        dest.taken += not (dest.recovered and past is not our.NO_PAST)
+        dest, past, tenant = self._destination(given.destination, now), given.history, given.tenant
+        dest.taken += not (dest.recovered and past is not our.NO_HISTORY)
         dest.failed += past.failed
-        dest.found = dest.found or past is not our.NO_PAST
+        dest.found = dest.found or past is not our.NO_HISTORY
         if past.failed:
             self._failed[dest.number] = dest
         doc = Document(given, self._types[given.type_name], dest, now, self._order)
@@ -209,7 +209,7 @@
     def outcome(self, now: float, doc_id: str, endpoint: str, outcome: our.Outcome) -> None:
         """How a transmission ended."""
         self._stirred, doc = True, self._held.get(doc_id) or self._flying.get(doc_id)
-        if doc is None or doc.out is None or outcome.number != doc.sent - 1:
+        if doc is None or doc.out is None or outcome.attempt != doc.sent - 1:
             return
         call, doc.out = doc.out, None
         self._flying.pop(doc_id, None)
@@ -219,7 +219,7 @@
             if self._linked and outcome.wait_ms > LONG_WAIT_MS:  # a shorter one is a limit's span
                 self._host.observed(call.ep.name, our.SignalKind.WAIT, outcome.wait_ms)
         if call.docs == 0:
-            self._hang_up(now, doc.destination, call, outcome.kind, outcome.kept)
+            self._hang_up(now, doc.destination, call, outcome.kind, outcome.reusable)
         if not call.heard and outcome.kind not in (UNSENT, CANCELLED):
             self._learn(now, doc.destination, call, outcome)  # once, however many share the call
         call.heard = True
@@ -228,20 +228,20 @@
             if doc.keyline:
                 doc.keyline.rest(now + self._set.key_rest_ms, doc)
         if not doc.over:
-            self._end(doc) if outcome.over else self._resume(now, doc, outcome)
+            self._end(doc) if outcome.final else self._resume(now, doc, outcome)
 
     def _destination(self, number: int, now: float) -> Destination:
         if number not in self._destinations:
             self._destinations[number] = Destination(number, self._set, self._begin + number, now)
         return self._destinations[number]
 
-    def recall(self, now: float, endpoint: str, wait_ms: float) -> None:  # told to the process before
+    def restore_wait(self, now: float, endpoint: str, wait_ms: float) -> None:  # told to the process before
         if ep := self._endpoints.get(endpoint):
             ep.route.wait_until = max(ep.route.wait_until, now + wait_ms)
             if wait_ms > LONG_WAIT_MS:
                 self._falls_ill(now, ep.route.destination, ep.route, ep, FULL)
 
-    def recover(self, now: float, known: our.Recovery) -> None:
+    def restore_recovery(self, now: float, known: our.Recovery) -> None:
         """Guards against a process that pushes over what the one before it found down or cold. May hurt an
         endpoint that came back or warmed up while no process ran: one call first, then the ramp."""
         if (ep := self._endpoints.get(known.endpoint)) is None:
@@ -258,7 +258,7 @@
     def avoided(self) -> list[str]:  # for the figures: listed as ready, yet only trials go there
         return [ep.name for ep in self._endpoints.values() if ep.ill and ep.state == READY]
 
-    def stands(self, now: float, doc_id: str) -> bool:  # its connection may have come up late
+    def confirm_transmission(self, now: float, doc_id: str) -> bool:  # its connection may have come up late
         doc = self._held.get(doc_id)
         if doc is None or doc.out is None or self._barred(now, doc, doc.out.ep):
             return False
@@ -484,7 +484,7 @@
         warm = 1.0 if back_at is None else (now - back_at) / self._set.warm_up_ms
         if warm >= 1.0:
             if not ep.ill and ep.back_at is not None:
-                self._host.remember(ep.recovery(now, our.RecoveryStage.WARM, now))
+                self._host.save_recovery(ep.recovery(now, our.RecoveryStage.WARM, now))
             ep.back_at = None
             return True
         share = self._set.cold_share + (1.0 - self._set.cold_share) * warm
@@ -545,7 +545,7 @@
     def _learn(self, now: float, dest: Destination, call: Call, outcome: our.Outcome) -> None:
         kind, ep, route, usual = outcome.kind, call.ep, call.ep.route, dest.usual(now)
         if outcome.limit:
-            route.limit, route.room, route.room_at = outcome.limit, outcome.room or 0.0, now
+            route.limit, route.room, route.room_at = outcome.limit, outcome.headroom or 0.0, now
             if dest.found and route.equal > 1e9:  # restarted together, with lines: no burst
                 route.share = min(1.0, max(1.0 / self._set.senders, usual / outcome.limit) / 2.0)
             route.equal = outcome.limit / self._set.senders
@@ -605,7 +605,7 @@
         for each in route.endpoints:  # a shut destination is shut at all its endpoints
             if each is ep or route.row - route.refused >= STREAK or why == FULL and each.ok_at < ep.failed_at:
                 if not each.ill:
-                    self._host.remember(each.recovery(now, our.RecoveryStage.DOWN, route.ill_at))
+                    self._host.save_recovery(each.recovery(now, our.RecoveryStage.DOWN, route.ill_at))
                 each.ill, each.back_at = True, None
         self._await_trial(now, dest, route, TRIAL_MS)
         self._host.log(f"destination {dest.number}: endpoint ill, {ep.streak} failures, last {why}")
@@ -633,9 +633,9 @@
             return
         if not self._notes.wait_ms(now, TOLD / self._set.senders, TOLD_AT_ONCE):
             ep.note_at, self._notes.credit = now + NOTE_MS, self._notes.credit - 1.0
-            self._host.tell(f"{mark(ep.name)}{what}")
+            self._host.broadcast(f"{mark(ep.name)}{what}")
 
-    def heard(self, now: float, note: str) -> None:
+    def note_received(self, now: float, note: str) -> None:
         """A note from another sender; what cannot be read, or names what is not listed, is skipped."""
         ep, what, ms = self._marks.get(note[:MARK]), note[MARK : MARK + 1], note[MARK + 1 :]
         if ep is None or now > self._alarm + STALL_MS:  # or it lay there while this sender stood still
@@ -658,10 +658,10 @@
             self._stirred = True
             self._back(now, dest, route, ep)
 
-    def linked(self, now: float, live: bool) -> None:
+    def signals_available(self, now: float, live: bool) -> None:
         self._linked, self._stirred = live, True
 
-    def reported(self, now: float, report: our.Report) -> None:
+    def report_received(self, now: float, report: our.Report) -> None:
         """Guards against every sender finding an outage, a told wait and a return by itself. Failures count
         from many senders only, and none older than what was served. May hurt where few senders are served."""
         if (ep := self._endpoints.get(report.endpoint)) is None:
@@ -688,7 +688,7 @@
 
     def _quorum(self, now: float, route: Route) -> float:  # of senders that saw failures; never one alone
         usual = route.destination.usual(now) * self._set.senders / len(route.endpoints)
-        most = min(our.MOST_OBSERVERS, max(2, self._set.senders // 2))
+        most = min(our.MAX_OBSERVERS, max(2, self._set.senders // 2))
         return min(most, max(QUORUM, usual * WORD_PART * QUORUM_MS / 1000.0))
 
     def _crowded(self, now: float, ep: Place) -> None:  # full tables of its kind: none is kept idle there
@@ -737,7 +737,7 @@
             if each is ep or (each.streak or route.row >= BRIEF) and not each.ill:
                 each.ill, each.back_at = False, back_at
                 each.word.clear()
-                self._host.remember(each.recovery(now, our.RecoveryStage.WARMING, back_at))
+                self._host.save_recovery(each.recovery(now, our.RecoveryStage.WARMING, back_at))
         self._host.log(f"destination {dest.number}: endpoint back, {dest.rate(now):.2f} documents/s")
 
     def _patience(self, ep: Place, doc: Document) -> float:
@@ -770,7 +770,7 @@
         ep.route = dest.routes[-1]
         ep.route.endpoints.append(ep)
 
-    def adopt(self, now: float, settings: our.Settings) -> None:
+    def reconfigure(self, now: float, settings: our.Settings) -> None:
         """Other settings, for what comes next; what is held, out, told, paid, resting or learnt stays."""
         apart, self._set, self._stirred = self._set.routes_apart, settings, True
         self._types = {kind.name: kind for kind in settings.types}
--- a/birchstack/interface.py
+++ b/birchstack/interface.py
@@ -1,4 +1,4 @@
-"""The types through which the decisions of decide.py and their host talk. Nothing is decided here."""
+"""Types shared by the decision logic of decide.py and its host. This module contains no logic."""
 
 from __future__ import annotations
 
@@ -6,18 +6,37 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-REPLAYABLE, NUMBERED, BINDING = "replayable", "numbered", "binding"
-OK, ERROR, FULL, TIMEOUT = "ok", "error", "full", "timeout"
-CONNECT_FAILED, RESET, CANCELLED, UNSENT = "connect_failed", "reset", "cancelled", "unsent"
+# Effects of a document type: what a repeated transmission does at the destination
+REPLAYABLE = "replayable"  # may run any number of times
+NUMBERED = "numbered"  # the endpoint drops repeats within the deduplication window
+BINDING = "binding"  # must not be transmitted again once it may have run
+
+# Kinds of outcome of a transmission
+OK = "ok"
+ERROR = "error"
+FULL = "full"  # the destination refused the call because of load
+TIMEOUT = "timeout"
+CONNECT_FAILED = "connect_failed"
+RESET = "reset"
+CANCELLED = "cancelled"
+UNSENT = "unsent"  # the call was never written to a connection
 OUTCOMES = (OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, UNSENT)
-GONE, READY, DRAINING = "gone", "ready", "draining"
-CHANGES, WHOLE, FAILED = "changes", "whole", "failed"
-KNOWN = "known"  # a whole list that was had before a start, and may be old
+
+# States of an endpoint in the list
+GONE = "gone"
+READY = "ready"
+DRAINING = "draining"
+
+# Modes of an update of the endpoint list
+CHANGES = "changes"
+WHOLE = "whole"
+FAILED = "failed"
+KNOWN = "known"  # a whole list saved before the process started; it may be out of date
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentType:
-    """What one type of document asks for; times in milliseconds."""
+    """Delivery requirements of one document type; times in milliseconds."""
 
     name: str
     effect: str
@@ -32,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one sender is told when it starts; lists by kind are in the order of the host's kinds."""
+    """Settings of one sender. Tuples with one item per endpoint kind follow the host's order of kinds."""
 
     types: tuple[DocumentType, ...]
     slots: int
@@ -48,15 +67,17 @@
     cold_share: float
     warm_up_ms: float
     key_rest_ms: float
-    notes: bool  # whether senders may pass notes to one another
-    list_every_ms: float = 0.0  # an asked list: asked at least so often, or counted as told; 0: no bound
-    tenants: tuple[tuple[str, float], ...] = ()  # name and documents a second of all senders in its share
-    over_share: float = 1.0  # the value of a document beyond its tenant's share, of its type's
+    notes: bool  # whether senders may exchange notes
+    list_every_ms: float = (
+        0.0  # longest interval between requests for the list, where it is polled; 0: no bound
+    )
+    tenants: tuple[tuple[str, float], ...] = ()  # name and quota: documents per second over all senders
+    over_share: float = 1.0  # value of a document beyond its tenant's quota, as a share of its type's value
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of the list of endpoints."""
+    """One entry of the endpoint list."""
 
     name: str
     destination: int
@@ -67,63 +88,71 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Past:
-    """What became of a document before its sender started again; times are the clock's, perhaps below 0."""
+class History:
+    """Transmissions of a document by earlier processes of this sender.
+
+    Times are on this process's clock, so they may be negative.
+    """
 
     sent: int = 0  # transmissions made
-    failed: int = 0  # of those, failed otherwise than by a refusal
-    doubt: tuple[tuple[float, str], ...] = ()  # time and zone of those that may have run
+    failed: int = 0  # transmissions that failed, refusals for load not counted
+    in_doubt: tuple[tuple[float, str], ...] = ()  # time and zone of the transmissions that may have run
 
 
-NO_PAST = Past()
+NO_HISTORY = History()
 
 
 @dataclass(slots=True)
 class Submission:
-    """A document as it is handed to the decisions. left_ms: until its expiry; key: of its order, if any;
-    past: what became of it in a process before this one."""
+    """A document handed to the decision logic.
+
+    remaining_ms is the time left until the document expires; key is its ordering key, if it has one.
+    """
 
     id: str
     destination: int
     type_name: str
-    left_ms: float
+    remaining_ms: float
     key: str | None = None
-    past: Past = NO_PAST
+    history: History = NO_HISTORY
     tenant: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one transmission ended. room and limit are None where the destination told nothing."""
+    """The result of one transmission. headroom and limit are None where the destination reported none."""
 
     kind: str
-    number: int
+    attempt: int
     elapsed_ms: float
-    over: bool
+    final: bool
     wait_ms: float = 0.0
-    room: float | None = None
+    headroom: float | None = None
     limit: float | None = None
-    kept: bool = True  # whether the connection lies idle now, where the outcome leaves that open
+    reusable: bool = True  # whether the connection is idle now, for outcomes that leave this open
 
 
 class SignalKind(enum.IntEnum):
-    """What a sender saw of an endpoint and tells the other senders; the lower number goes first."""
+    """An observation of an endpoint that a sender shares with the others; lower numbers are sent first."""
 
-    WAIT = 1  # the endpoint told a wait
-    SERVED = 2  # a call was served, after failures that this sender saw or was told of
-    FAILED = 3  # a call failed, otherwise than by a refusal
+    WAIT = 1  # the endpoint asked for a wait
+    SERVED = 2  # a call was served after failures that this sender saw or was told of
+    FAILED = 3  # a call failed, other than by a refusal for load
 
 
-MOST_OBSERVERS = 16  # senders whose observations of one endpoint are counted at most
+MAX_OBSERVERS = 16  # upper bound of the senders counted as observers of one endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What the other senders saw of one endpoint lately, summed up. Times in ms; ages are counted by steady
-    clocks, up to now. failed_by: how many senders saw it fail since anybody was last served there, counted up
-    to MOST_OBSERVERS; first_ms, last_ms: ages of the first and the last of those failures. served_ms: age of
-    the last served call, or None. wait_ms: what is left of a wait that the endpoint told; wait_age_ms: since
-    it was told."""
+    """Summary of what the other senders observed at one endpoint recently.
+
+    Times are in milliseconds; ages are measured by steady clocks, up to now. failed_by is the number of
+    senders that saw the endpoint fail since any sender was last served there, at most MAX_OBSERVERS; first_ms
+    and last_ms are the ages of the first and the last of those failures. served_ms is the age of the last
+    served call, or None. wait_ms is what remains of a wait that the endpoint asked for; wait_age_ms is the
+    time since it asked.
+    """
 
     endpoint: str
     failed_by: int = 0
@@ -135,19 +164,21 @@
 
 
 class RecoveryStage(enum.StrEnum):
-    """How far an endpoint that was away has come back, as one sender knows it."""
+    """How far an endpoint has recovered from an outage, as one sender knows it."""
 
-    DOWN = "down"  # it fails or is shut: one call at a time tries it
-    WARMING = "warming"  # it serves again, and its share of calls rises in the warm-up time
-    WARM = "warm"  # that time is over
+    DOWN = "down"  # failing or shut: probed with one call at a time
+    WARMING = "warming"  # serving again: its share of calls rises during the warm-up time
+    WARM = "warm"  # the warm-up time is over
 
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """What a sender knows of an endpoint that was away, kept for the process that follows it.
+    """What a sender knows of an endpoint after an outage, saved for the next process.
 
-    age_ms: since when it is in this stage. documents, span_ms: how many documents the sender took for the
-    endpoint's destination and in what time, its usual rate there; a span of 0 where that is not known."""
+    age_ms is the time spent in this stage. documents and span_ms are the number of documents that the sender
+    received for the endpoint's destination and the time it took, which give the usual rate; a span of 0 means
+    that the rate is not known.
+    """
 
     endpoint: str
     stage: RecoveryStage
@@ -157,58 +188,74 @@
 
 
 class Host(Protocol):
-    """What a sender may ask for. Every call takes effect at the time of the turn that is being answered."""
+    """Actions that a sender may request. Each takes effect at the time of the turn being processed."""
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None: ...
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
+        """Sends a document to an endpoint."""
 
-    def reject(self, doc_id: str, retry_after_ms: float) -> None: ...
+    def reject(self, doc_id: str, retry_after_ms: float) -> None:
+        """Answers that the document was not delivered and may be submitted again."""
 
-    def abandon(self, doc_id: str) -> None: ...
+    def abandon(self, doc_id: str) -> None:
+        """Answers that delivery was given up and the document must not be submitted again."""
 
-    def close_idle(self, endpoint: str) -> None: ...
+    def close_idle(self, endpoint: str) -> None:
+        """Closes the idle connections to an endpoint."""
 
-    def wake(self, after_ms: float) -> None: ...
+    def wake(self, after_ms: float) -> None:
+        """Requests a turn after a delay."""
 
-    def subscribe(self) -> None: ...
+    def subscribe(self) -> None:
+        """Requests the endpoint list."""
 
-    def tell(self, note: str) -> None: ...  # to all other senders, where settings permit it
+    def broadcast(self, note: str) -> None:
+        """Sends a note to all other senders; only called where the settings permit notes."""
 
     def observed(self, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
-        """For the other senders; only called while Events.linked said that signals reach this one."""
+        """Shares an observation with the other senders; only called while signals are available."""
 
-    def remember(self, recovery: Recovery) -> None:
-        """An endpoint went away, came back or is warm again: kept for the process that follows this one."""
+    def save_recovery(self, recovery: Recovery) -> None:
+        """Saves a change of an endpoint's recovery stage for the next process."""
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Writes a log line."""
 
 
 class Events(Protocol):
-    """What a host tells a sender. A turn is some events at one time, ended by one call of turn()."""
+    """Events that a host reports to a sender. A turn is a group of events at one time, ended by turn()."""
 
-    def endpoints(self, now: float, mode: str, entries: list[Endpoint]) -> None: ...
+    def endpoints(self, now: float, mode: str, entries: list[Endpoint]) -> None:
+        """The endpoint list or changes to it arrived, or a request for it failed."""
 
-    def document(self, now: float, given: Submission) -> None: ...
+    def document(self, now: float, given: Submission) -> None:
+        """A document was submitted."""
 
-    def outcome(self, now: float, doc_id: str, endpoint: str, outcome: Outcome) -> None: ...
+    def outcome(self, now: float, doc_id: str, endpoint: str, outcome: Outcome) -> None:
+        """A transmission ended."""
 
-    def withdrawn(self, now: float, doc_id: str) -> None: ...
+    def withdrawn(self, now: float, doc_id: str) -> None:
+        """The client withdrew a document."""
 
-    def stands(self, now: float, doc_id: str) -> bool:
-        """Asked just before a transmission is written that was decided earlier: whether it still may."""
+    def confirm_transmission(self, now: float, doc_id: str) -> bool:
+        """Returns whether a transmission requested earlier may still be written, just before it is."""
 
-    def recall(self, now: float, endpoint: str, wait_ms: float) -> None:
-        """A wait that an endpoint told the process before this one, and that still has to run."""
+    def restore_wait(self, now: float, endpoint: str, wait_ms: float) -> None:
+        """An endpoint asked the previous process for a wait, of which wait_ms remain."""
 
-    def recover(self, now: float, known: Recovery) -> None:
-        """What the process before this one knew of an endpoint that was away; before waits and documents."""
+    def restore_recovery(self, now: float, known: Recovery) -> None:
+        """The previous process saved a recovery; reported before any restored wait and any document."""
 
-    def heard(self, now: float, note: str) -> None: ...
+    def note_received(self, now: float, note: str) -> None:
+        """A note from another sender arrived."""
 
-    def linked(self, now: float, live: bool) -> None:
-        """Whether signals of other senders reach this one; not until it is told so."""
+    def signals_available(self, now: float, live: bool) -> None:
+        """Signals of other senders became available or unavailable; initially they are unavailable."""
 
-    def reported(self, now: float, report: Report) -> None: ...
+    def report_received(self, now: float, report: Report) -> None:
+        """A report of the other senders' observations arrived."""
 
-    def adopt(self, now: float, settings: Settings) -> None: ...
+    def reconfigure(self, now: float, settings: Settings) -> None:
+        """The settings changed."""
 
-    def turn(self, now: float) -> None: ...
+    def turn(self, now: float) -> None:
+        """Ends a group of events: the sender acts on them."""
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -170,9 +170,9 @@
         """Goes to the decisions behind the list that names the endpoints, and before any document."""
         for recalled in self._recalled.of(self._lasting.ms(), listed):
             if recalled.recovery:
-                self._inbox.append((self._core.recover, recalled.recovery))
+                self._inbox.append((self._core.restore_recovery, recalled.recovery))
             if recalled.wait_ms > 0.0:
-                self._inbox.append((self._core.recall, recalled.endpoint, recalled.wait_ms))
+                self._inbox.append((self._core.restore_wait, recalled.endpoint, recalled.wait_ms))
 
     def _adopt(self, now: float, owed: Owed, tenant: str | None = None) -> None:
         """What was taken on before goes to the decisions, with its past."""
@@ -183,9 +183,9 @@
             self._owe_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
             return
         doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
-        past = our.Past(owed.sent, owed.failed, doubt) if owed.found else our.NO_PAST
-        left_ms = owed.due - now
-        given = our.Submission(owed.id, owed.destination, owed.type, left_ms, owed.key, past, tenant)
+        history = our.History(owed.sent, owed.failed, doubt) if owed.found else our.NO_HISTORY
+        remaining_ms = owed.due - now
+        given = our.Submission(owed.id, owed.destination, owed.type, remaining_ms, owed.key, history, tenant)
         self._core.document(now, given)
 
     def _look_at_the_folder(self) -> None:
@@ -269,7 +269,7 @@
             self._ledger.told(call.endpoint, self._lasting.ms() + outcome.wait_ms)
         owed = self._ledger.owed.get(call.doc)
         if owed and owed.notice is None:  # else it is kept until the platform knows
-            if outcome.over:
+            if outcome.final:
                 self._ledger.done(owed)
             else:
                 failed = outcome.kind not in (our.FULL, our.UNSENT)
@@ -428,7 +428,7 @@
             and owed.notice is None
             and self._calling()
             and self._calls.waiting(call)
-            and self._core.stands(now, call.doc)
+            and self._core.confirm_transmission(now, call.doc)
         ):
             return False
         try:
@@ -459,10 +459,10 @@
 
     # What the decisions ask for
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         owed = self._ledger.owed.get(doc_id)
         number, where = (owed.sent, owed.destination) if owed else (0, -1)
-        self._starting[doc_id] = Call(doc_id, number, endpoint, b"", patience_ms, destination=where)
+        self._starting[doc_id] = Call(doc_id, number, endpoint, b"", timeout_ms, destination=where)
 
     def reject(self, doc_id: str, retry_after_ms: float) -> None:
         if doc_id in self._fresh:
@@ -507,13 +507,13 @@
     def subscribe(self) -> None:
         """The watch is always kept, and asked for again by itself."""
 
-    def tell(self, note: str) -> None:
+    def broadcast(self, note: str) -> None:
         """Never asked for: the configuration refuses notes, which have no way to other senders here."""
 
     def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
         self._audit.observed(endpoint, kind, wait_ms)
 
-    def remember(self, recovery: our.Recovery) -> None:
+    def save_recovery(self, recovery: our.Recovery) -> None:
         self._ledger.remember(self._lasting.ms(), recovery)
 
     def log(self, text: str) -> None:
@@ -528,7 +528,7 @@
         for report in reports:
             if report.wait_ms > 0.0:  # kept over a restart, as one that was told here
                 self._ledger.told(report.endpoint, self._lasting.ms() + report.wait_ms)
-            self._happened(self._core.reported, report)
+            self._happened(self._core.report_received, report)
 
     def _look_at_the_link(self) -> None:
         self._link()
@@ -540,7 +540,7 @@
         if live != self._linked and self._holds:
             self._linked = live
             say(log, "signals of other senders come" if live else "no signals of other senders come")
-            self._happened(self._core.linked, live)
+            self._happened(self._core.signals_available, live)
 
     # What operators ask: carried out here, and only reported
 
@@ -601,7 +601,7 @@
         if self._audit:
             self._audit.settings(self._config, "reload")
         if changed:
-            self._happened(self._core.adopt, fresh.settings)
+            self._happened(self._core.reconfigure, fresh.settings)
         self._watch.move(fresh.discovery, fresh.kinds)
         self._notices.move(fresh.discovery)
         say(
--- a/birchstack/settings.py
+++ b/birchstack/settings.py
@@ -1,4 +1,4 @@
-"""Reads the wire's settings into those that the decisions use. Keys that are not known are skipped."""
+"""Converts the settings as received over the wire into interface.Settings. Unknown keys are ignored."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 EFFECTS = {"safe": REPLAYABLE, "keyed": NUMBERED, "unsafe": BINDING}
 
 
-def _type(words: dict) -> DocumentType:
+def _document_type(fields: dict) -> DocumentType:
     return DocumentType(
-        name=words["name"],
-        effect=EFFECTS[words["effect"]],
-        agreed_ms=words["objectiveMs"],
-        expiry_ms=words["deadlineMs"],
-        value=words["importance"],
-        late_share=words.get("lateShare") or 0.0,
-        one_zone=words.get("group", "all") != "all",
-        window_ms=words.get("windowMs") or 0.0,
-        in_order=bool(words.get("oneAtATime")),
+        name=fields["name"],
+        effect=EFFECTS[fields["effect"]],
+        agreed_ms=fields["objectiveMs"],
+        expiry_ms=fields["deadlineMs"],
+        value=fields["importance"],
+        late_share=fields.get("lateShare") or 0.0,
+        one_zone=fields.get("group", "all") != "all",
+        window_ms=fields.get("windowMs") or 0.0,
+        in_order=bool(fields.get("oneAtATime")),
     )
 
 
 def decode(config: dict) -> Settings:
-    """The wire's settings in this project's words."""
+    """Returns the settings that a configuration in the wire format describes."""
     domain, limits, rules = config["domain"], config["limits"], config["rules"]
     kinds = max(len(config.get("hostTypes", [])), 1)
     return Settings(
-        types=tuple(_type(words) for words in config["services"]),
+        types=tuple(_document_type(fields) for fields in config["services"]),
         slots=domain["callsOut"],
         max_held=limits["maxOpen"],
         max_transmissions=limits["sendCap"],
@@ -42,6 +42,6 @@
         key_rest_ms=rules.get("settleAfterDoubtMs") or 0.0,
         notes=bool(limits.get("mayTell")),
         list_every_ms=rules.get("askEveryMs") or 0.0,
-        tenants=tuple((words["name"], float(words["quotaPerS"])) for words in config.get("tenants") or ()),
+        tenants=tuple((fields["name"], float(fields["quotaPerS"])) for fields in config.get("tenants") or ()),
         over_share=config.get("overShareWorth", 1.0),
     )
--- a/birchstack/signals/board.py
+++ b/birchstack/signals/board.py
@@ -1,7 +1,7 @@
 """What a keeper knows of endpoints from the signals of all senders.
 
 Pure. Merging is commutative and idempotent: for each endpoint and kind the newest observation of an observer
-counts, of the newest MOST_OBSERVERS observers. What is kept is bounded by the endpoints that signals name,
+counts, of the newest MAX_OBSERVERS observers. What is kept is bounded by the endpoints that signals name,
 not by senders times endpoints. Observations end by their age; those of a former life of their observer count
 no more as soon as a later life is known. Times are this process's steady clock, in milliseconds.
 """
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from birchstack.interface import MOST_OBSERVERS, SignalKind
+from birchstack.interface import MAX_OBSERVERS, SignalKind
 from birchstack.signals.model import LIFETIME_MS, Evidence, Sequences, Signal, SignalBatch, encode
 from birchstack.signals.news import News
 
@@ -103,7 +103,7 @@
         if before and before.life == life and before.sequence >= signal.sequence:
             return False
         seen[observer] = made
-        if len(seen) > MOST_OBSERVERS:
+        if len(seen) > MAX_OBSERVERS:
             del seen[min(seen, key=lambda each: (self._current(each, seen[each]), seen[each].at_ms, each))]
         entry.merged_ms = now_ms
         self._note_news(signal.endpoint, entry, signal.kind, now_ms)
--- a/birchstack/signals/model.py
+++ b/birchstack/signals/model.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from birchstack.interface import MOST_OBSERVERS, Report, SignalKind
+from birchstack.interface import MAX_OBSERVERS, Report, SignalKind
 
 VERSION = 1
 LONGEST_WAIT_MS = 600_000  # a wait is passed on so long at most
@@ -53,7 +53,7 @@
     """What a keeper knows of one endpoint, as interface.Report. served_ms: -1 where nobody was served."""
 
     endpoint: Name
-    failed_by: Annotated[int, Meta(ge=0, le=MOST_OBSERVERS)] = 0
+    failed_by: Annotated[int, Meta(ge=0, le=MAX_OBSERVERS)] = 0
     first_ms: Count = 0
     last_ms: Count = 0
     served_ms: Annotated[int, Meta(ge=-1, le=1 << 53)] = -1
--- a/birchstack/state.py
+++ b/birchstack/state.py
@@ -112,14 +112,14 @@
     def __init__(
         self, given: our.Submission, kind: our.DocumentType, destination, now: float, order: int
     ) -> None:
-        past = given.past
+        past = given.history
         self.id, self.kind, self.destination, self.order = given.id, kind, destination, order
-        self.expiry = now + given.left_ms
+        self.expiry = now + given.remaining_ms
         self.taken = self.expiry - kind.expiry_ms  # when the client first handed it in
         self.ready_at, self.out = now, None  # end of its pause; the call that it is out with
-        self.found = past is not our.NO_PAST  # taken on before a restart
+        self.found = past is not our.NO_HISTORY  # taken on before a restart
         self.sent, self.repeats = past.sent, 0  # transmissions, and those that the bucket paid for
-        self.doubt = [*past.doubt]  # transmissions that may have run: time and zone
+        self.doubt = [*past.in_doubt]  # transmissions that may have run: time and zone
         self.over, self.keyline, self.path = False, None, None
         self.back_ms = float("inf")  # when it may come again, where it is rejected for want of a place
         self.worth = 1.0  # of its type's value: less where its tenant sends beyond its share
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -60,10 +60,10 @@
         self.sender = Sender(our.Settings(**{**words, **settings}), 7, self)
         self.listed(endpoints)
 
-    def transmit(self, doc_id, endpoint, patience_ms):
+    def transmit(self, doc_id, endpoint, timeout_ms):
         self.number[doc_id] = self.number.get(doc_id, -1) + 1
         self.calls.append((doc_id, endpoint))
-        self.patience.append(patience_ms)
+        self.patience.append(timeout_ms)
 
     def reject(self, doc_id, retry_after_ms):
         self.said.append((doc_id, "rejected"))
@@ -81,13 +81,13 @@
     def subscribe(self):
         self.said.append(("list", "asked"))
 
-    def tell(self, note):
+    def broadcast(self, note):
         self.told.append(note)
 
     def observed(self, endpoint, kind, wait_ms):
         self.observations.append((endpoint, kind, wait_ms))
 
-    def remember(self, recovery):
+    def save_recovery(self, recovery):
         self.remembered.append(recovery)
 
     def log(self, text):
@@ -107,7 +107,7 @@
         """What a sender before this one held, in one turn; doubt at the time 0; fresh ones were not sent."""
         for doc_id in docs:
             self.number[doc_id] = past.get("sent", 0) - 1
-            given = our.Submission(doc_id, 1, kind, 20000.0, key, our.Past(**past))
+            given = our.Submission(doc_id, 1, kind, 20000.0, key, our.History(**past))
             self.sender.document(self.now, given)
         for doc_id in fresh:
             self.sender.document(self.now, our.Submission(doc_id, 1, kind, 20000.0, key))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -148,7 +148,7 @@
     old = decide.Sender.document
 
     def document(self, now, given):
-        old(self, now, dataclasses.replace(given, left_ms=given.left_ms * 3.0))
+        old(self, now, dataclasses.replace(given, remaining_ms=given.remaining_ms * 3.0))
 
     patch.set(decide.Sender, "document", document)
     patch.set(sender.Node, "_look_for_overdue", never)
@@ -169,9 +169,9 @@
 def _(patch):
     old, count = sender.Node.transmit, [0]
 
-    def transmit(self, doc_id, endpoint, patience_ms):
+    def transmit(self, doc_id, endpoint, timeout_ms):
         count[0] += 1
-        old(self, doc_id, next(iter(self._calls.addresses)) if count[0] % 100 == 0 else endpoint, patience_ms)
+        old(self, doc_id, next(iter(self._calls.addresses)) if count[0] % 100 == 0 else endpoint, timeout_ms)
 
     patch.set(sender.Node, "transmit", transmit)
 
@@ -252,7 +252,7 @@
 
 @mutant("what is cold is forgotten with the process", COLD, ("shut_told", "kill", "sigterm"))
 def _(patch):
-    patch.set(sender.Node, "remember", never)
+    patch.set(sender.Node, "save_recovery", never)
 
 
 @mutant("documents of one key go out of turn")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -184,16 +184,16 @@
 
 def test_a_binding_document_in_doubt_before_a_restart_is_abandoned_at_once():
     story = Story()
-    story.back(["d"], "pay", sent=1, doubt=((0.0, "a"),))
+    story.back(["d"], "pay", sent=1, in_doubt=((0.0, "a"),))
     assert story.said == [("d", "abandoned")] and not story.calls
 
 
 @pytest.mark.parametrize(
     "kind, past",
     [
-        ("sync", dict(sent=2, doubt=((0.0, "a"),))),
+        ("sync", dict(sent=2, in_doubt=((0.0, "a"),))),
         ("pay", dict(sent=1)),
-        ("order", dict(sent=1, doubt=((0.0, "a"),))),
+        ("order", dict(sent=1, in_doubt=((0.0, "a"),))),
     ],
 )
 def test_what_may_still_be_sent_after_a_restart_is_sent_with_its_count(kind, past):
@@ -209,13 +209,13 @@
 def test_a_numbered_document_whose_window_passed_with_the_restart_is_not_sent():
     story = Story()
     story.at(6000.0)
-    story.back(["d"], "order", sent=1, doubt=((0.0, "a"),))
+    story.back(["d"], "order", sent=1, in_doubt=((0.0, "a"),))
     assert not story.calls and len(story.said) == 1
 
 
 def test_after_a_restart_order_is_kept_and_a_key_in_doubt_rests():
     story = Story()
-    story.back(["d1"], "turn", "k", sent=1, doubt=((0.0, "a"),))
+    story.back(["d1"], "turn", "k", sent=1, in_doubt=((0.0, "a"),))
     story.back(["d2"], "turn", "k")
     assert [doc for doc, _ in story.calls] == ["d1"]
     story.ends("d1", our.OK, 100)
@@ -330,7 +330,7 @@
 def test_a_connection_that_was_closed_is_not_counted_on_as_idle():
     story = Story()
     story.take("d1")
-    story.ends("d1", our.OK, 50.0, kept=False)
+    story.ends("d1", our.OK, 50.0, reusable=False)
     assert not story.sender._endpoints["a"].idle and not story.sender._lying
 
 
@@ -386,7 +386,7 @@
 
 def test_a_wait_and_a_return_told_to_the_process_before_are_kept():
     story = Story(slots=40)  # an upgrade is one sender: a wait told to the old one holds
-    story.sender.recall(story.now, "a", 1500.0)
+    story.sender.restore_wait(story.now, "a", 1500.0)
     story.take("d1")
     story.at(1400.0)
     assert not story.calls
@@ -397,7 +397,7 @@
         cold.take(f"d{number}")
         cold.ends(f"d{number}", our.OK, 100.0)
     returned = our.Recovery("a", our.RecoveryStage.WARMING, age_ms=500.0)
-    cold.sender.recover(cold.now, returned)  # back from out by hand half a second ago: still cold
+    cold.sender.restore_recovery(cold.now, returned)  # back from out by hand half a second ago: still cold
     for number in range(20):
         cold.take(f"w{number}")
     assert sum(doc.startswith("w") for doc, _ in cold.calls) <= 3
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -152,7 +152,7 @@
 def test_a_window_that_ends_during_a_long_turn_bars_the_call_that_the_turn_decided(node, window, written):
     async def story():
         kind = our.DocumentType("order", our.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False)
-        node._core.adopt(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
+        node._core.reconfigure(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
         node._front.types["order"], wall = 20000.0, node._lasting.ms()
         owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
         node._ledger.call(owed, "a", wall - 700.0)  # out when its process ended
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -12,7 +12,7 @@
 def hears(story, *notes, each_ms=10.0):
     for note in notes:
         story.at(story.now + each_ms)
-        story.sender.heard(story.now, note)
+        story.sender.note_received(story.now, note)
         story.sender.turn(story.now)
 
 
@@ -131,7 +131,7 @@
     story.ends("d", our.FULL, 10.0, wait_ms=500.0)
     story.now += 3000.0  # no turn meanwhile
     for _ in range(20):
-        story.sender.heard(story.now, A + "f")
+        story.sender.note_received(story.now, A + "f")
     story.sender.turn(story.now)
     assert not story.logs
 
@@ -226,7 +226,7 @@
         types=(),
     )
     for settings in (apart, story.sender._set, apart):
-        story.sender.adopt(story.now, settings)
+        story.sender.reconfigure(story.now, settings)
         story.sender.turn(story.now)
     story.at(3000.0)
     assert story.tries("d") == 1
--- a/tests/test_recoveries.py
+++ b/tests/test_recoveries.py
@@ -243,7 +243,7 @@
 def test_a_wait_told_again_by_others_changes_no_stage():
     story = Story()
     for number in range(3):
-        story.sender.reported(story.now, our.Report("a", wait_ms=5000.0 + 1000.0 * number))
+        story.sender.report_received(story.now, our.Report("a", wait_ms=5000.0 + 1000.0 * number))
     assert [each.stage for each in story.remembered] == [DOWN]
 
 
@@ -258,10 +258,10 @@
 def recovered(recovery, found=0):
     """A sender that starts with what the process before knew, and so many documents of its own."""
     story = Story(slots=40, senders=30)  # so many that its own rate counts, not its part of the least
-    story.sender.recover(story.now, recovery)
+    story.sender.restore_recovery(story.now, recovery)
     for number in range(found):
-        past = our.Past(sent=0)
-        story.sender.document(story.now, our.Submission(f"d{number}", 1, "sync", 20000.0, past=past))
+        history = our.History(sent=0)
+        story.sender.document(story.now, our.Submission(f"d{number}", 1, "sync", 20000.0, history=history))
     story.sender.turn(story.now)
     return story
 
@@ -283,7 +283,7 @@
     for seed in range(20):
         story = Story(senders=senders)
         story.sender._draw = random.Random(seed).uniform
-        story.sender.recover(0.0, Recovery("a", DOWN, 0.0, 1, 3.6e6))
+        story.sender.restore_recovery(0.0, Recovery("a", DOWN, 0.0, 1, 3.6e6))
         story.take("d")
         assert not story.calls
         story.at(10_000.0)
@@ -317,6 +317,6 @@
 
 def test_what_is_known_of_an_endpoint_that_is_not_listed_is_skipped():
     story = Story()
-    story.sender.recover(story.now, Recovery("other", DOWN))
+    story.sender.restore_recovery(story.now, Recovery("other", DOWN))
     story.take("d")
     assert story.calls == [("d", "a")]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -119,7 +119,7 @@
     story = busy_with_brief_windows()
     story.take("d", "order")
     story.at(late)  # its connection came up
-    assert story.sender.stands(story.now, "d")
+    assert story.sender.confirm_transmission(story.now, "d")
     story.ends("d", our.RESET)
     story.at(late + 100.0)
     assert story.tries("d") == 2
--- a/tests/test_shared_limit.py
+++ b/tests/test_shared_limit.py
@@ -84,9 +84,9 @@
     def restart(self):
         self.start()
         for doc_id, expiry in self.held.items():
-            past = our.Past(self.sent[doc_id], 0, ())
-            left_ms = expiry - self.fleet.now
-            given = our.Submission(doc_id, 1, "sync", left_ms, past=past)
+            history = our.History(self.sent[doc_id], 0, ())
+            remaining_ms = expiry - self.fleet.now
+            given = our.Submission(doc_id, 1, "sync", remaining_ms, history=history)
             self.sender.document(self.fleet.now, given)
         self.soon()
 
@@ -113,7 +113,7 @@
         if alarm == self.alarm:
             self.turn(self.life)
 
-    def transmit(self, doc_id, endpoint, patience_ms):
+    def transmit(self, doc_id, endpoint, timeout_ms):
         way_ms = self.fleet.draw.uniform(8.0, 16.0)
         self.fleet.later(way_ms, self.arrives, self.life, doc_id, self.sent[doc_id])
         self.sent[doc_id] += 1
@@ -126,7 +126,7 @@
     def hears(self, life, doc_id, outcome):
         if life == self.life:
             self.sender.outcome(self.fleet.now, doc_id, "a", outcome)
-            if outcome.over:
+            if outcome.final:
                 self.held.pop(doc_id, None)
             self.soon()
 
@@ -137,8 +137,8 @@
 
     def subscribe(self): ...
     def close_idle(self, endpoint): ...
-    def tell(self, note): ...
-    def remember(self, recovery): ...
+    def broadcast(self, note): ...
+    def save_recovery(self, recovery): ...
     def log(self, text): ...
 
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -7,7 +7,7 @@
 from birchstack.fleet import wire
 from birchstack.fleet.settings import Signals
 from birchstack.fleet.signalling import Signalling
-from birchstack.interface import MOST_OBSERVERS, SignalKind
+from birchstack.interface import MAX_OBSERVERS, SignalKind
 from birchstack.keeper.config import Asks
 from birchstack.keeper.relay import Relay
 from birchstack.signals import board as boards
@@ -71,13 +71,13 @@
 
 def test_merging_beyond_the_most_observers_keeps_the_newest_in_any_order():
     chance = random.Random("many")
-    ages = {f"n{at:02}": 100 * at for at in range(MOST_OBSERVERS + 9)}
+    ages = {f"n{at:02}": 100 * at for at in range(MAX_OBSERVERS + 9)}
     for _ in range(50):
         board, names = Board(), [*ages] * 2
         chance.shuffle(names)
         for name in names:
             board.merge(name, batch(Signal("a", FAILED, 1, ages[name])), 1e6)
-        assert board.evidence("a", 1e6) == model.Evidence("a", MOST_OBSERVERS, 100 * (MOST_OBSERVERS - 1), 0)
+        assert board.evidence("a", 1e6) == model.Evidence("a", MAX_OBSERVERS, 100 * (MAX_OBSERVERS - 1), 0)
 
 
 def test_one_observer_counts_once_however_much_it_says():
--- a/tests/test_signals_decisions.py
+++ b/tests/test_signals_decisions.py
@@ -12,12 +12,12 @@
 def linked(**settings):
     story = Story(**{"senders": 200, **settings})
     story.at(10_000.0)
-    story.sender.linked(story.now, True)
+    story.sender.signals_available(story.now, True)
     return story
 
 
 def reported(story, **words):
-    story.sender.reported(story.now, Report("a", **words))
+    story.sender.report_received(story.now, Report("a", **words))
     story.sender.turn(story.now)
 
 
@@ -243,7 +243,7 @@
     story.take("d", left=900_000.0)
     story.at(70_000.0)
     assert not story.calls
-    story.sender.linked(story.now, False)
+    story.sender.signals_available(story.now, False)
     story.sender.turn(story.now)
     story.at(story.now + 3.5 * 2000.0 / (4.0 / 200.0))
     assert story.calls
@@ -251,7 +251,7 @@
 
 def test_a_report_of_what_is_not_listed_is_skipped():
     story = linked()
-    story.sender.reported(0.0, Report("nowhere", failed_by=16, wait_ms=9000.0))
+    story.sender.report_received(0.0, Report("nowhere", failed_by=16, wait_ms=9000.0))
     story.take("d")
     assert story.calls
 
