--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -179,9 +179,9 @@
         """Reports known recoveries and waits of endpoints, after the list with them and before documents."""
         for recalled in self._recollection.of(self._lasting.ms(), listed):
             if recalled.recovery:
-                self._events.append((self._core.recover, recalled.recovery))
+                self._events.append((self._core.restore_recovery, recalled.recovery))
             if recalled.wait_ms > 0.0:
-                self._events.append((self._core.recall, recalled.endpoint, recalled.wait_ms))
+                self._events.append((self._core.restore_wait, recalled.endpoint, recalled.wait_ms))
 
     def _resubmit(self, now: float, owed: Owed, tenant: str | None = None) -> None:
         """Submits a document accepted earlier to the decision logic, with its past transmissions."""
@@ -192,9 +192,11 @@
             self._end_with_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
             return
         doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
-        past = our.Past(owed.sent, owed.failed, doubt) if owed.found else our.NO_PAST
-        left_ms = owed.due - now
-        submission = our.Submission(owed.id, owed.destination, owed.type, left_ms, owed.key, past, tenant)
+        history = our.History(owed.sent, owed.failed, doubt) if owed.found else our.NO_HISTORY
+        remaining_ms = owed.due - now
+        submission = our.Submission(
+            owed.id, owed.destination, owed.type, remaining_ms, owed.key, history, tenant
+        )
         self._core.document(now, submission)
 
     def _check_lock(self) -> None:
@@ -284,7 +286,7 @@
             self._ledger.told(call.endpoint, self._lasting.ms() + outcome.wait_ms)
         owed = self._ledger.owed.get(call.doc_id)
         if owed and owed.notice is None:  # with a notice it stays until the platform has acknowledged that
-            if outcome.over:
+            if outcome.final:
                 self._ledger.done(owed)
             else:
                 failed = outcome.kind not in (our.FULL, our.UNSENT)
@@ -453,7 +455,7 @@
             and owed.notice is None
             and self._may_call()
             and self._calls.can_write(call)
-            and self._core.stands(now, call.doc_id)
+            and self._core.confirm_transmission(now, call.doc_id)
         ):
             return False
         try:
@@ -484,11 +486,11 @@
 
     # Requests of the decision logic (interface.Host)
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         """Starts a call at the end of this turn."""
         owed = self._ledger.owed.get(doc_id)
         number, where = (owed.sent, owed.destination) if owed else (0, -1)
-        self._starting[doc_id] = Call(doc_id, number, endpoint, b"", patience_ms, destination=where)
+        self._starting[doc_id] = Call(doc_id, number, endpoint, b"", timeout_ms, destination=where)
 
     def reject(self, doc_id: str, retry_after_ms: float) -> None:
         """Rejects a document: in the answer to its client, or by a notice once that was accepted."""
@@ -537,14 +539,14 @@
     def subscribe(self) -> None:
         """Does nothing: the watch is always open, and reopens by itself."""
 
-    def tell(self, note: str) -> None:
+    def broadcast(self, note: str) -> None:
         """Does nothing: the configuration refuses notes, which this sender cannot pass to others."""
 
     def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
         """Passes an observation of an endpoint on to the other senders."""
         self._audit.observed(endpoint, kind, wait_ms)
 
-    def remember(self, recovery: our.Recovery) -> None:
+    def save_recovery(self, recovery: our.Recovery) -> None:
         """Records an endpoint's recovery for the process after this one."""
         self._ledger.remember(self._lasting.ms(), recovery)
 
@@ -561,7 +563,7 @@
         for report in reports:
             if report.wait_ms > 0.0:  # kept over a restart, like a wait asked of this sender
                 self._ledger.told(report.endpoint, self._lasting.ms() + report.wait_ms)
-            self._enqueue(self._core.reported, report)
+            self._enqueue(self._core.report_received, report)
 
     def _check_signals(self) -> None:
         self._update_signals()
@@ -573,7 +575,7 @@
         if live != self._signals_live and self._holds_lock:
             self._signals_live = live
             say(log, "signals of other senders come" if live else "no signals of other senders come")
-            self._enqueue(self._core.linked, live)
+            self._enqueue(self._core.signals_available, live)
 
     # Calls of operators
 
@@ -639,7 +641,7 @@
         if self._audit:
             self._audit.record_settings(self._config, "reload")
         if changed:
-            self._enqueue(self._core.adopt, reloaded.settings)
+            self._enqueue(self._core.reconfigure, reloaded.settings)
         self._watch.move(reloaded.discovery, reloaded.kinds)
         self._notices.move(reloaded.discovery)
         say(
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -152,7 +152,7 @@
 def test_a_window_that_ends_during_a_long_turn_prevents_the_call_decided_in_it(node, window, written):
     async def story():
         kind = our.DocumentType("order", our.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False)
-        node._core.adopt(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
+        node._core.reconfigure(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
         node._client_server.types["order"], wall = 20000.0, node._lasting.ms()
         owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
         node._ledger.call(owed, "a", wall - 700.0)  # in flight when its process ended
