--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -231,7 +231,7 @@
     type, key, repeat_key, tenant, body = "sync", None, None, None, stand.BODY
 
     def __init__(self, doc_id: str, destination: int) -> None:
-        self.id, self.destination, self.left_ms, self.duplicates = doc_id, destination, 1.5 * DAY_MS, []
+        self.id, self.destination, self.remaining_ms, self.duplicates = doc_id, destination, 1.5 * DAY_MS, []
         self.verdict: str | None = None
 
     def age_and_gone(self) -> tuple[float, bool]:
--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -55,7 +55,7 @@
     """One transmission of a document to an endpoint."""
 
     doc_id: str
-    number: int  # counts the transmissions of the document
+    attempt: int  # counts the transmissions of the document
     endpoint: str
     body: bytes
     timeout_ms: float  # time-out, counted from when the call is written
@@ -377,7 +377,7 @@
             connection.close()  # before the outcome is reported: one transmission of a document at a time
         kind, *rest = result
         elapsed_ms = self.elapsed_since(call.started)
-        self._on_end(call, our.Outcome(kind, call.number, elapsed_ms, *rest, kept))
+        self._on_end(call, our.Outcome(kind, call.attempt, elapsed_ms, *rest, kept))
 
     def discard(self, connection: EndpointConnection) -> None:
         """Removes an idle connection from the pool, and closes it."""
--- a/birchstack/net/front.py
+++ b/birchstack/net/front.py
@@ -65,7 +65,7 @@
         "key",
         "repeat_key",
         "tenant",
-        "left_ms",
+        "remaining_ms",
         "body",
         "keep_alive",
         "_client",
@@ -88,10 +88,13 @@
         self.id = fields.get("request-id", "")
         if not ID_PATTERN.fullmatch(self.id):
             raise InvalidRequestError("Request-Id")
-        left = fields.get("request-timeout-ms", "")
-        if not NUMBER_PATTERN.fullmatch(left) or int(left) > server.types[self.type] + EXCESS_TIMEOUT_MS:
+        timeout = fields.get("request-timeout-ms", "")
+        if (
+            not NUMBER_PATTERN.fullmatch(timeout)
+            or int(timeout) > server.types[self.type] + EXCESS_TIMEOUT_MS
+        ):
             raise InvalidRequestError("Request-Timeout-Ms")
-        self.left_ms = float(left)
+        self.remaining_ms = float(timeout)
         destination = _parse_pairs(fields.get("x-consignee", "").replace(";", ","), ",").get("dest", "")
         if not NUMBER_PATTERN.fullmatch(destination):
             raise InvalidRequestError("X-Consignee")
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -166,11 +166,11 @@
         room = self._core.room(destination, self._window, len(self._stored), ahead)
         if not ahead and room > 0 and self._ledger.fits([size]):
             return None
-        if back_ms := self._core.back_ms(now, destination, request.left_ms - age_ms, ahead):
+        if back_ms := self._core.back_ms(now, destination, request.remaining_ms - age_ms, ahead):
             return REJECTED, back_ms
         if not self._store.fits([size, *(len(each.body) for each in self._pending.values())]):
             return UNAVAILABLE, advice_ms
-        request.left_ms -= age_ms
+        request.remaining_ms -= age_ms
         self._pending[request.id] = request
         self._pending_counts[destination] = self._pending_counts.get(destination, 0) + 1
         return ACCEPTED, 0.0
@@ -191,7 +191,7 @@
                 request.type,
                 request.destination,
                 request.key,
-                wall + request.left_ms,
+                wall + request.remaining_ms,
                 request.body,
                 request.repeat_key,
                 request.tenant,
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -368,13 +368,13 @@
         elif not self._ledger.fits([len(request.body), *(len(each.body) for each in self._pending.values())]):
             self._answer(request, UNAVAILABLE, advice_ms)
         else:
-            request.left_ms -= age
+            request.remaining_ms -= age
             self._pending[request.id] = request
             submission = our.Submission(
                 request.id,
                 request.destination,
                 request.type,
-                request.left_ms,
+                request.remaining_ms,
                 request.key,
                 tenant=request.tenant,
             )
@@ -409,7 +409,7 @@
                     request.type,
                     request.destination,
                     request.key,
-                    wall + request.left_ms,
+                    wall + request.remaining_ms,
                     request.body,
                     request.repeat_key,
                 )
@@ -419,7 +419,7 @@
                 self._cancel_call(self._starting.pop(request.id, None))
                 self._answer(request, UNAVAILABLE, self._config.settings.retry_after_ms)
             else:
-                owed.due = now + request.left_ms
+                owed.due = now + request.remaining_ms
                 self._answer(request, ACCEPTED)
         starting, self._starting = self._starting, {}
         approved = []
@@ -468,7 +468,7 @@
 
     def _cancel_call(self, call: Call | None) -> None:
         if call:
-            self._on_call_end(call, our.Outcome(our.UNSENT, call.number, 0.0, False))
+            self._on_call_end(call, our.Outcome(our.UNSENT, call.attempt, 0.0, False))
 
     def _log_state(self) -> None:
         """Logs the sender's state at regular intervals, for operators."""
@@ -489,8 +489,8 @@
     def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         """Starts a call at the end of this turn."""
         owed = self._ledger.owed.get(doc_id)
-        number, where = (owed.sent, owed.destination) if owed else (0, -1)
-        self._starting[doc_id] = Call(doc_id, number, endpoint, b"", timeout_ms, destination=where)
+        attempt, destination = (owed.sent, owed.destination) if owed else (0, -1)
+        self._starting[doc_id] = Call(doc_id, attempt, endpoint, b"", timeout_ms, destination=destination)
 
     def reject(self, doc_id: str, retry_after_ms: float) -> None:
         """Rejects a document: in the answer to its client, or by a notice once that was accepted."""
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -9,7 +9,11 @@
     """unsent: whether written bytes still wait to be taken by the kernel."""
 
     def __init__(self, unsent=False, gone=False):
-        self.unsent, self.closed, self.gone, self.written, self.waiting = unsent, False, gone, b"", 0
+        self.unsent = unsent
+        self.closed = False
+        self.gone = gone
+        self.written = b""
+        self.waiting = 0
 
     def write(self, data):
         self.written += data
@@ -36,7 +40,10 @@
     dial_ms, idle_ms, loop, transmitted = 200.0, 1000.0, None, 0
 
     def __init__(self):
-        self.ends, self.ok, self.dropped, self.timers = [], [], [], []
+        self.ends = []
+        self.ok = []
+        self.dropped = []
+        self.timers = []
 
     def call_later(self, ms, what, *words):
         self.timers.append(ms)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,7 +25,8 @@
     """Idle clients: each connects, sends nothing, and connects again soon after it was closed."""
 
     def __init__(self, world, count):
-        self.closed, self._world = 0, world
+        self.closed = 0
+        self._world = world
         self._tasks = [asyncio.create_task(self._one(number)) for number in range(count)]
 
     async def _one(self, number):
@@ -49,7 +50,8 @@
     """The endpoint fails the document named and takes the others."""
 
     def __init__(self, world, doc):
-        self._world, self._doc = world, doc
+        self._world = world
+        self._doc = doc
 
     def pop(self, at):
         return answer(500) if self._world.calls[-1][0] == self._doc else OK_200
@@ -62,7 +64,10 @@
     """
 
     def __init__(self, world):
-        self._world, self.statuses, self.slowest, self.most = world, [], 0.0, 0
+        self._world = world
+        self.statuses = []
+        self.slowest = 0.0
+        self.most = 0
         self._tasks = [asyncio.create_task(each()) for each in (self._submit, self._poll_operators)]
 
     async def _submit(self):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -19,8 +19,12 @@
 
     type, destination, key, repeat_key, tenant, body = "sync", 1, None, None, None, b"x"
 
-    def __init__(self, doc_id="d", left_ms=5000.0, gone=False):
-        self.id, self.left_ms, self._gone, self.replies, self.duplicates = doc_id, left_ms, gone, [], []
+    def __init__(self, doc_id="d", remaining_ms=5000.0, gone=False):
+        self.id = doc_id
+        self.remaining_ms = remaining_ms
+        self._gone = gone
+        self.replies = []
+        self.duplicates = []
 
     def age_and_gone(self):
         return 40.0, self._gone
@@ -57,7 +61,7 @@
         node._turn()
         node._log_state()
         assert request.replies == [(ACCEPTED, 0.0)] and gone.replies == [(UNAVAILABLE, 0.0)]
-        assert [*node._ledger.owed] == ["d"] and request.left_ms == 4960.0
+        assert [*node._ledger.owed] == ["d"] and request.remaining_ms == 4960.0
 
     node.run(story)
 
@@ -75,7 +79,7 @@
 
 def test_a_document_left_unended_past_its_expiry_is_abandoned(node):
     async def story():
-        node._events.append((node._accept, FakeRequest(left_ms=300.0)))
+        node._events.append((node._accept, FakeRequest(remaining_ms=300.0)))
         node._turn()
         node._core.turn = fault
         time.sleep(0.5)  # the process stalls
@@ -123,7 +127,7 @@
 def test_remembered_answers_are_bounded_and_ended_documents_leave_nothing_else(node):
     async def story():
         for number in range(5000):
-            request = FakeRequest(f"d{number}", left_ms=40.0 if number % 2 else 20000.0)
+            request = FakeRequest(f"d{number}", remaining_ms=40.0 if number % 2 else 20000.0)
             node._events.append((node._accept, request))
             node._turn()
             node._enqueue(node._core.withdrawn, request.id)
@@ -186,7 +190,7 @@
             steady += 400.0
 
         node._core.turn = long_turn
-        node._events.append((node._accept, FakeRequest(left_ms=5040.0)))
+        node._events.append((node._accept, FakeRequest(remaining_ms=5040.0)))
         node._turn()
         assert steady == 5_000_400.0
         assert node._ledger.owed["d"].expiry == pytest.approx(began + 5000.0, rel=0.0, abs=0.001)
