--- a/benchmarks/capacity/alone.py
+++ b/benchmarks/capacity/alone.py
@@ -108,23 +108,23 @@
         self._later(1000.0, ("look",))
         seen, dests = self._seen, [self._sender._destinations[at] for at in range(self._down)]
         seen.looks += 1
-        seen.share += self._sender._repeats_held
-        seen.bucket += sum(dest.tokens < 1.0 for dest in dests)
-        seen.ill += sum(any(ep.ill for ep in dest.routes[0].endpoints) for dest in dests)
+        seen.share += self._sender._retries_capped
+        seen.bucket += sum(dest.retry_tokens < 1.0 for dest in dests)
+        seen.ill += sum(any(ep.ejected for ep in dest.routes[0].endpoints) for dest in dests)
 
     # What the decisions ask for
 
     def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         doc, seen = self._sender._held[doc_id], self._seen
         at, which = map(int, endpoint[1:].split("-"))
-        seen.all_repeats += doc.repeats > 0
-        seen.all_firsts += doc.repeats == 0
+        seen.all_repeats += doc.retries > 0
+        seen.all_firsts += doc.retries == 0
         kind, ms = our.OK, ANSWER_MS
         if at < self._down and not which and self._is_down:
-            ill = doc.out.trial
+            ill = doc.call.probe
             seen.trials += ill
-            seen.repeats += not ill and doc.repeats > 0
-            seen.firsts += not ill and doc.repeats == 0
+            seen.repeats += not ill and doc.retries > 0
+            seen.firsts += not ill and doc.retries == 0
             kind, ms = {
                 REFUSED: (our.CONNECT_FAILED, 1.0),
                 ERRING: (our.ERROR, ANSWER_MS),
--- a/benchmarks/capacity/recoveries.py
+++ b/benchmarks/capacity/recoveries.py
@@ -78,8 +78,8 @@
             began = time.process_time()
             read_s = _start(folder, sender, listed)
             starts.append((time.process_time() - began, read_s))
-            if len(sender.avoided()) != down:
-                raise RuntimeError(f"{len(sender.avoided())} of {down} are known to be down")
+            if len(sender.ejected_endpoints()) != down:
+                raise RuntimeError(f"{len(sender.ejected_endpoints())} of {down} are known to be down")
     return {
         "disk": disk,
         "CPU of a change": change_s,
--- a/benchmarks/capacity/signals.py
+++ b/benchmarks/capacity/signals.py
@@ -86,7 +86,7 @@
         self.core.turn(0.0)
 
     def holds_back(self) -> bool:
-        return self.core._endpoints[ENDPOINT].ill
+        return self.core._endpoints[ENDPOINT].ejected
 
     def turn(self) -> None:
         self.core.turn(self.fleet.now)
@@ -162,7 +162,7 @@
 
     def called(self, member: Member, doc_id: str, document: object, patience_ms: float) -> None:
         self.seen.calls.append(self.now)
-        if self.is_down(self.now) and not document.out.trial:
+        if self.is_down(self.now) and not document.call.probe:
             self.seen.firsts.append(self.now)
         kind, ms = our.OK, ANSWER_MS
         if self.is_down(self.now):
--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -118,17 +118,17 @@
             setattr(self.sender, name, work.dictionary())
         self.change(our.WHOLE, [endpoint(each) for each in range(1, listed + 1)])
         for dest in self.sender._destinations.values():
-            dest.line = work.line()
+            dest.queue = work.line()
         for at in range(owed):
             left = 1_000.0 if at == owed - 1 else DAY_MS
             given = our.Submission(f"o{at}", 1 + at % down, "sync", left)
             self.sender.document(self.host.now, given)
         for ep in [self.sender._endpoints[f"s-{each}"] for each in range(1, down + 1)]:
-            self.sender._falls_ill(0.0, ep.route.destination, ep.route, ep, our.ERROR)
-            ep.route.trial_at = 500.0 if ep.name == "s-1" else 60_000.0  # one is due at a time
+            self.sender._eject(0.0, ep.route.destination, ep.route, ep, our.ERROR)
+            ep.route.next_probe_at = 500.0 if ep.name == "s-1" else 60_000.0  # one is due at a time
         self.turn()
         self.answer()
-        assert len(self.sender.avoided()) == down, "every one is known to be down"
+        assert len(self.sender.ejected_endpoints()) == down, "every one is known to be down"
         assert len(self.sender._held) == owed
 
     def turn(self) -> None:
@@ -183,7 +183,7 @@
 
     def expires(self) -> Callable[[], None]:
         """The newest of those owed can wait no more."""
-        ends = next(when for when, _, doc in self.sender._ends if doc.expiry < DAY_MS / 2.0)
+        ends = next(when for when, _, doc in self.sender._last_starts if doc.expiry < DAY_MS / 2.0)
         self.host.now = ends
         return self.turn
 
--- a/birchstack/interface.py
+++ b/birchstack/interface.py
@@ -68,9 +68,7 @@
     warm_up_ms: float
     key_rest_ms: float
     notes: bool  # whether senders may exchange notes
-    list_every_ms: float = (
-        0.0  # longest interval between requests for the list, where it is polled; 0: no bound
-    )
+    list_every_ms: float = 0.0  # longest interval between two requests for the list; 0: no bound
     tenants: tuple[tuple[str, float], ...] = ()  # name and quota: documents per second over all senders
     over_share: float = 1.0  # value of a document beyond its tenant's quota, as a share of its type's value
 
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -3,7 +3,8 @@
 Owns the order between the store and the ledger, and when the store is read. A document is in one of them, but
 for a moment: what comes back is written to the ledger first, then the store is told, and only then the
 decisions hear of it; a start tells the store what the ledger has. Must never decide which document waits on
-disk, comes back or is refused: the decisions are asked (Sender.room, Sender.back_ms), and a document whose
+disk, comes back or is refused: the decisions are asked (Sender.documents_wanted,
+Sender.overflow_retry_after_ms), and a document whose
 time runs out on disk is handed to them, to be ended as any other. The one store there is:
 birchstack.backlog, switched on by BALANCER_BACKLOG.
 """
@@ -124,10 +125,10 @@
         come again after so many milliseconds."""
         where, size = handed.destination, len(handed.body)
         ahead = self._store.waiting(where)[0] + self._ahead.get(where, 0)
-        room = self._core.room(where, self._window, len(self._lines), ahead)
+        room = self._core.documents_wanted(where, self._window, len(self._lines), ahead)
         if not ahead and room > 0 and self._ledger.fits([size]):
             return None
-        if back_ms := self._core.back_ms(now, where, handed.left_ms - age_ms, ahead):
+        if back_ms := self._core.overflow_retry_after_ms(now, where, handed.left_ms - age_ms, ahead):
             return REJECTED, back_ms
         if not self._store.fits([size, *(len(each.body) for each in self._fresh.values())]):
             return CLOSED, advice_ms
@@ -213,7 +214,7 @@
 
     def _room(self, destination: int) -> int:
         kept = self._store.waiting(destination)[0]
-        return self._core.room(destination, self._window, len(self._lines), kept)
+        return self._core.documents_wanted(destination, self._window, len(self._lines), kept)
 
     def _read(self, now: float, destination: int) -> int:
         most = min(RUN, self._room(destination))
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -555,7 +555,7 @@
     def _figures(self) -> Figures:
         out = self._by_hand.out
         avoided = sum(name in self._list.entries for name in out) + sum(
-            name not in out for name in self._core.avoided()
+            name not in out for name in self._core.ejected_endpoints()
         )
         held = len(self._overflow or ()) + sum(owed.notice is None for owed in self._ledger.owed.values())
         return Figures(
--- a/birchstack/state.py
+++ b/birchstack/state.py
@@ -1,217 +1,300 @@
-"""What the decisions keep of documents and calls, and their counters. Nothing is decided or tuned here."""
+"""State of documents, calls and endpoints, and the counters that decide.py uses. No decision is made here."""
 
 from __future__ import annotations
 
 import zlib
 from collections import deque
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.interface import BINDING, NUMBERED
 
-SPARE = 64  # lines of keys kept beyond twice those in use
-NEVER = float("-inf")  # before any time: what others saw may be older than this process
-MARK = 6  # letters that stand for an endpoint in notes
+SPARE_KEYS = 64  # key queues kept beyond twice the number in use
+NEVER = float("-inf")  # before any time: reported events may be older than this process
+ENDPOINT_TAG_LENGTH = 6  # characters that stand for an endpoint in notes
 
 
-def mark(name: str) -> str:
-    return f"{zlib.crc32(name.encode()) & 0xFFFFFF:0{MARK}x}"
+def endpoint_tag(name: str) -> str:
+    """Returns the short hash that stands for an endpoint in notes."""
+    return f"{zlib.crc32(name.encode()) & 0xFFFFFF:0{ENDPOINT_TAG_LENGTH}x}"
 
 
-class Ring:
-    """Counts per fixed bucket of time, used again in a ring."""
+class RateWindow:
+    """Counts events over a sliding window, in a ring of buckets of fixed width."""
 
     def __init__(self, now: float, bucket_ms: float, buckets: int) -> None:
-        self._counts, self._start, self._width = [0] * buckets, now, bucket_ms
-        self._at = int(now // bucket_ms)
-
-    def _turn(self, now: float) -> None:
-        bucket = int(now // self._width)
-        for step in range(max(self._at + 1, bucket - len(self._counts) + 1), bucket + 1):
+        self._counts = [0] * buckets
+        self._start = now
+        self._bucket_ms = bucket_ms
+        self._newest = int(now // bucket_ms)
+
+    def _advance(self, now: float) -> None:
+        """Clears the buckets that began since the last call."""
+        bucket = int(now // self._bucket_ms)
+        for step in range(max(self._newest + 1, bucket - len(self._counts) + 1), bucket + 1):
             self._counts[step % len(self._counts)] = 0
-        self._at = max(bucket, self._at)
+        self._newest = max(bucket, self._newest)
 
     def add(self, now: float) -> None:
-        self._turn(now)
-        self._counts[self._at % len(self._counts)] += 1
+        """Counts one event."""
+        self._advance(now)
+        self._counts[self._newest % len(self._counts)] += 1
 
     def rate(self, now: float, buckets: int | None = None) -> float:
-        self._turn(now)
+        """Returns events per second over the newest buckets, by default over all of them."""
+        self._advance(now)
         buckets = buckets or len(self._counts)
-        calls = sum(self._counts[(self._at - step) % len(self._counts)] for step in range(buckets))
-        span = now - max(self._start, (self._at - buckets + 1) * self._width)
-        return calls * 1000.0 / max(span, self._width)
-
+        events = sum(self._counts[(self._newest - step) % len(self._counts)] for step in range(buckets))
+        span_ms = now - max(self._start, (self._newest - buckets + 1) * self._bucket_ms)
+        return events * 1000.0 / max(span_ms, self._bucket_ms)
 
-class Meter:
-    """Spaces calls out: credit grows with a rate and pays for calls."""
 
-    def __init__(self, now: float, credit: float = 1.0) -> None:
-        self.credit, self._at = credit, now
+class TokenBucket:
+    """Paces calls: tokens accrue at a rate, and each call costs one."""
 
-    def wait_ms(self, now: float, rate: float, most: float) -> float:
-        self.credit = min(most, self.credit + (now - self._at) * rate / 1000.0)
-        self._at = now
-        return 0.0 if self.credit >= 0.999 else (1.0 - self.credit) * 1000.0 / rate
+    def __init__(self, now: float, tokens: float = 1.0) -> None:
+        self.tokens = tokens
+        self._updated_at = now
 
+    def wait_ms(self, now: float, rate: float, capacity: float) -> float:
+        """Refills the bucket and returns the time until it holds a token; rate is in tokens per second."""
+        self.tokens = min(capacity, self.tokens + (now - self._updated_at) * rate / 1000.0)
+        self._updated_at = now
+        return 0.0 if self.tokens >= 0.999 else (1.0 - self.tokens) * 1000.0 / rate
 
-class Average:
-    """A moving average; the first figure stands for all before it."""
 
-    def __init__(self, part: float) -> None:
-        self.value, self._part = 0.0, part
+class MovingAverage:
+    """An exponential moving average that starts at the first sample."""
 
-    def add(self, figure: float) -> None:
-        self.value += (figure - self.value) * (self._part if self.value else 1.0)
+    def __init__(self, weight: float) -> None:
+        self.value = 0.0
+        self._weight = weight
 
+    def add(self, sample: float) -> None:
+        """Adds one sample."""
+        self.value += (sample - self.value) * (self._weight if self.value else 1.0)
 
-class Fading:
-    """A count of which half is forgotten with each half-life; never below zero."""
 
-    def __init__(self, now: float, half_ms: float) -> None:
-        self._count, self._at, self._half = 0.0, now, half_ms
+class DecayingCount:
+    """A count that decays by half with each half-life and never falls below zero."""
 
-    def at(self, now: float, more: float = 0.0) -> float:
-        self._count = max(0.0, self._count * 0.5 ** ((now - self._at) / self._half) + more)
-        self._at = now
+    def __init__(self, now: float, half_life_ms: float) -> None:
+        self._count = 0.0
+        self._updated_at = now
+        self._half_life_ms = half_life_ms
+
+    def value(self, now: float, increment: float = 0.0) -> float:
+        """Adds an increment to the decayed count and returns the result."""
+        self._count = max(
+            0.0, self._count * 0.5 ** ((now - self._updated_at) / self._half_life_ms) + increment
+        )
+        self._updated_at = now
         return self._count
 
     def clear(self) -> None:
+        """Sets the count to zero."""
         self._count = 0.0
 
 
-class Classes:
-    """Moving shares of bad cases, by class of a figure; a class with too many is marked for a while."""
+class ClassedFailureRates:
+    """Moving failure rates by class of a measured value; a class with a high rate is flagged for a while."""
 
-    def __init__(self, bounds: tuple[float, ...], part: float, most: float, marked_ms: float) -> None:
-        self._bounds, self._part, self._most, self._marked_ms = bounds, part, most, marked_ms
-        self._shares, self._until = [0.0] * len(bounds), [0.0] * len(bounds)
+    def __init__(self, bounds: tuple[float, ...], weight: float, threshold: float, flagged_ms: float) -> None:
+        self._bounds = bounds
+        self._weight = weight
+        self._threshold = threshold
+        self._flagged_ms = flagged_ms
+        self._rates = [0.0] * len(bounds)
+        self._flagged_until = [0.0] * len(bounds)
 
-    def learn(self, now: float, figure: float, bad: bool) -> None:
-        at = sum(figure >= bound for bound in self._bounds) - 1
+    def record(self, now: float, value: float, failed: bool) -> None:
+        """Records a success or a failure in the class of the value; values below all classes are ignored."""
+        at = sum(value >= bound for bound in self._bounds) - 1
         if at >= 0:
-            self._shares[at] += self._part * (bad - self._shares[at])
-            if bad and self._shares[at] > self._most:
-                self._until[at] = now + self._marked_ms
+            self._rates[at] += self._weight * (failed - self._rates[at])
+            if failed and self._rates[at] > self._threshold:
+                self._flagged_until[at] = now + self._flagged_ms
 
-    def marked(self, now: float, figure: float) -> bool:
-        return any(now < until and figure >= at for until, at in zip(self._until, self._bounds, strict=True))
+    def flagged(self, now: float, value: float) -> bool:
+        """Returns whether the class of the value, or a lower one, is flagged."""
+        return any(
+            now < until and value >= bound
+            for until, bound in zip(self._flagged_until, self._bounds, strict=True)
+        )
 
 
 class Call:
-    """A call that is out, with one document or several that share its slot and its fate."""
+    """A call in flight. It carries one document, or several that share its slot and its outcome."""
 
-    def __init__(self, ep, now: float, idle_ms: float) -> None:
-        self.ep, self.sent_at, self.idle_ms, self.trial = ep, now, idle_ms, ep.ill
-        self.left_at = now  # when it was written, where that comes later
-        self.docs, self.heard = 0, False  # documents without an outcome; whether one had its outcome
+    def __init__(self, endpoint, now: float, idle_ms: float) -> None:
+        self.endpoint = endpoint
+        self.sent_at = now
+        self.idle_ms = idle_ms  # how long its connection was idle before
+        self.probe = endpoint.ejected
+        self.written_at = now  # updated when it is written, if that is later
+        self.pending = 0  # documents without an outcome
+        self.answered = False  # whether one of its documents had its outcome
 
 
 class Document:
-    """What is kept of one document from its submission to its end."""
+    """State of one document from its submission to its end."""
 
     def __init__(
-        self, given: our.Submission, kind: our.DocumentType, destination, now: float, order: int
+        self,
+        given: interface.Submission,
+        document_type: interface.DocumentType,
+        destination,
+        now: float,
+        sequence: int,
     ) -> None:
-        past = given.history
-        self.id, self.kind, self.destination, self.order = given.id, kind, destination, order
+        history = given.history
+        self.id = given.id
+        self.type = document_type
+        self.destination = destination
+        self.sequence = sequence
         self.expiry = now + given.remaining_ms
-        self.taken = self.expiry - kind.expiry_ms  # when the client first handed it in
-        self.ready_at, self.out = now, None  # end of its pause; the call that it is out with
-        self.found = past is not our.NO_HISTORY  # taken on before a restart
-        self.sent, self.repeats = past.sent, 0  # transmissions, and those that the bucket paid for
-        self.doubt = [*past.in_doubt]  # transmissions that may have run: time and zone
-        self.over, self.keyline, self.path = False, None, None
-        self.back_ms = float("inf")  # when it may come again, where it is rejected for want of a place
-        self.worth = 1.0  # of its type's value: less where its tenant sends beyond its share
-
-    def fresh(self) -> bool:  # taken on by this process, and surely not run
-        return not self.found and not self.doubt
-
-    def lost(self) -> bool:  # it must not be transmitted again, nor handed in again
-        return bool(self.doubt) and self.kind.effect == BINDING
-
-    def known_until(self) -> float:  # its endpoint drops repeats so long, where it may have run
-        known = self.doubt and self.kind.effect == NUMBERED
-        return self.doubt[0][0] + self.kind.window_ms if known else float("inf")
-
-
-class Place:
-    """What is kept of one endpoint."""
-
-    def __init__(self, entry: our.Endpoint, number: int, now: float, norm: Average, word: Fading) -> None:
-        self.name, self.zone, self.kind = entry.name, entry.zone, entry.kind
-        self.number, self.state = number, our.READY
-        self.norm, self.word = norm, word  # failures lately, here and as told
-        self.note_at, self.trials = 0.0, 0  # when it may be told of again; trials out
-        self.route = None  # that it belongs to
-        self.calls: list[float] = []  # when each call that is out was sent
-        self.idle: list[float] = []  # since when each idle connection lies idle
-        self.streak, self.failed_at = 0, now  # failures in a row, and when they began
-        self.ill, self.failing, self.doubtful = False, 0.0, 0.0  # moving shares: failed, left in doubt
-        self.usual_ms = self.recent_ms = 0.0  # slow and fast moving averages of answer times
-        self.ok_at, self.back_at = NEVER, None  # when it last served, and answered again after an outage
-        self.call, self.blamed = None, 0.0  # made in this turn, others may join; idle time before a time-out
-        self.last_failed_at = NEVER  # when its last call failed, here
-        self.others_failed_at = self.others_served_at = NEVER  # when other senders saw that last, as reported
-        self.others_trusted_at = NEVER  # when it was last taken for back by a report alone
-
-    def hear(self, now: float, report: our.Report) -> int:
-        """Keeps when other senders last saw it serve and fail. Returns how many saw failures that count:
-        those that began after anybody was served, here or there."""
+        self.submitted_at = self.expiry - document_type.expiry_ms  # first submission by the client
+        self.ready_at = now  # end of its backoff
+        self.call = None  # the call in flight that carries it
+        self.restored = history is not interface.NO_HISTORY  # received before a restart
+        self.sent = history.sent  # transmissions made
+        self.retries = 0  # transmissions paid for by the retry budget
+        self.in_doubt = [*history.in_doubt]  # time and zone of the transmissions that may have run
+        self.finished = False
+        self.key_queue = None
+        self.delivery = None  # the generator that runs its delivery
+        self.retry_after_ms = float("inf")  # bound on the retry time told to the client, if it is rejected
+        self.value_factor = 1.0  # share of its type's value; less beyond its tenant's quota
+
+    def evictable(self) -> bool:
+        """Returns whether it was received by this process and certainly has not run."""
+        return not self.restored and not self.in_doubt
+
+    def unrepeatable(self) -> bool:
+        """Returns whether it must be neither transmitted nor submitted again."""
+        return bool(self.in_doubt) and self.type.effect == BINDING
+
+    def window_end(self) -> float:
+        """Returns until when its endpoint drops duplicates, if it may have run; else infinity."""
+        windowed = self.in_doubt and self.type.effect == NUMBERED
+        return self.in_doubt[0][0] + self.type.window_ms if windowed else float("inf")
+
+
+class EndpointState:
+    """State of one endpoint."""
+
+    def __init__(
+        self,
+        entry: interface.Endpoint,
+        number: int,
+        now: float,
+        overall_answer_ms: MovingAverage,
+        recent_failures: DecayingCount,
+    ) -> None:
+        self.name = entry.name
+        self.zone = entry.zone
+        self.kind = entry.kind
+        self.number = number
+        self.state = interface.READY
+        self.overall_answer_ms = overall_answer_ms  # over all endpoints of this sender
+        self.recent_failures = recent_failures  # seen here or received in notes
+        self.next_note_at = 0.0  # earliest time of the next note about it
+        self.probes_in_flight = 0
+        self.route = None
+        self.in_flight: list[float] = []  # send time of each call in flight
+        self.idle_since: list[float] = []  # for each idle connection, when it became idle
+        self.failure_streak = 0
+        self.streak_began_at = now
+        self.ejected = False
+        self.failure_rate = 0.0  # moving share of failed calls
+        self.doubt_rate = 0.0  # moving share of calls that left a document in doubt
+        self.usual_ms = 0.0  # slow moving average of answer times
+        self.recent_ms = 0.0  # fast moving average of answer times
+        self.served_at = NEVER  # when it last served a call
+        self.returned_at = None  # when it returned from an outage; None once it is warm
+        self.open_call = None  # a call made in this turn that other documents may join
+        self.suspect_idle_ms = 0.0  # idle time of the connection before the last time-out
+        self.last_failed_at = NEVER  # last failure of a call of this sender
+        self.others_failed_at = NEVER  # last failure that other senders reported
+        self.others_served_at = NEVER  # last success that other senders reported
+        self.others_trusted_at = NEVER  # when it last returned to service because of a report alone
+
+    def apply_report(self, now: float, report: interface.Report) -> int:
+        """Records when other senders last saw it serve and fail, and returns how many saw relevant failures.
+
+        Failures are relevant if they began after the last call that was served, here or to another sender.
+        """
         if report.served_ms is not None:
             self.others_served_at = max(self.others_served_at, now - report.served_ms)
         if report.failed_by:
             self.others_failed_at = max(self.others_failed_at, now - report.last_ms)
-        counts = now - report.first_ms > max(self.ok_at, self.others_served_at)
-        return report.failed_by if counts else 0
+        relevant = now - report.first_ms > max(self.served_at, self.others_served_at)
+        return report.failed_by if relevant else 0
 
-    def recovery(self, now: float, stage: our.RecoveryStage, since: float) -> our.Recovery:
-        """What the next process needs to know of it: its stage, since when, and the sender's usual rate."""
-        dest = self.route.destination
-        return our.Recovery(self.name, stage, now - since, dest.taken, now - dest.since)
+    def recovery(self, now: float, stage: interface.RecoveryStage, since: float) -> interface.Recovery:
+        """Returns what the next process needs: the stage, its age and the usual rate of the destination."""
+        destination = self.route.destination
+        return interface.Recovery(
+            self.name, stage, now - since, destination.received, now - destination.counted_since
+        )
 
     def joinable(self) -> bool:
-        return self.call is not None and self.call.docs < self.route.per_call
+        """Returns whether a document may join a call made in this turn."""
+        return self.open_call is not None and self.open_call.pending < self.route.per_call
+
 
+def latest_return(endpoints: list[EndpointState]) -> float | None:
+    """Returns when the last of the endpoints that are warming up returned, or None if none is."""
+    return max(
+        (endpoint.returned_at for endpoint in endpoints if endpoint.returned_at is not None), default=None
+    )
 
-def last_back(places: list[Place]) -> float | None:
-    """When the last of these came back that are cold."""
-    return max((place.back_at for place in places if place.back_at is not None), default=None)
 
+class KeyQueue:
+    """Documents of one ordering key, in order of submission.
 
-class Keyline:
-    """Documents of one key, in the order taken; one at a time, with a rest after doubt."""
+    One is transmitted at a time, with a rest after a transmission that may have run.
+    """
 
     def __init__(self) -> None:
-        self.docs: deque[Document] = deque()
-        self.rest_until, self.rested_by = 0.0, None
+        self.documents: deque[Document] = deque()
+        self.rest_until = 0.0
+        self.rest_exempt = None  # the document that caused the rest, which need not observe it
 
-    def rest(self, until: float, doc: Document) -> None:
-        self.rest_until, self.rested_by = until, doc
+    def rest(self, until: float, document: Document) -> None:
+        """Holds back all documents but this one until a time."""
+        self.rest_until = until
+        self.rest_exempt = document
 
-    def used(self, now: float) -> bool:
-        while self.docs and self.docs[0].over and self.docs[0].out is None:
-            self.docs.popleft()
-        return bool(self.docs) or now < self.rest_until
+    def in_use(self, now: float) -> bool:
+        """Drops finished documents at the head and returns whether a document or a rest remains."""
+        while self.documents and self.documents[0].finished and self.documents[0].call is None:
+            self.documents.popleft()
+        return bool(self.documents) or now < self.rest_until
 
-    def allows(self, doc: Document, now: float) -> bool:
-        return self.used(now) and self.docs[0] is doc and (now >= self.rest_until or self.rested_by is doc)
+    def allows(self, document: Document, now: float) -> bool:
+        """Returns whether the document may be transmitted now."""
+        return (
+            self.in_use(now)
+            and self.documents[0] is document
+            and (now >= self.rest_until or self.rest_exempt is document)
+        )
 
 
-class Keys:
-    """The line of each key that is in use; those that are no more go when they are many."""
+class KeyQueues:
+    """The queue of each ordering key in use. Unused queues are removed when there are many."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, Keyline] = {}
-        self._most = SPARE
+        self._queues: dict[str, KeyQueue] = {}
+        self._cleanup_size = SPARE_KEYS
 
     def __len__(self) -> int:
-        return len(self._lines)
-
-    def join(self, now: float, key: str, doc: Document) -> Keyline:
-        if len(self._lines) >= self._most:
-            self._lines = {each: line for each, line in self._lines.items() if line.used(now)}
-            self._most = 2 * len(self._lines) + SPARE
-        line = self._lines.setdefault(key, Keyline())
-        line.docs.append(doc)
-        return line
+        return len(self._queues)
+
+    def enqueue(self, now: float, key: str, document: Document) -> KeyQueue:
+        """Appends a document to its key's queue and returns the queue."""
+        if len(self._queues) >= self._cleanup_size:
+            self._queues = {each: queue for each, queue in self._queues.items() if queue.in_use(now)}
+            self._cleanup_size = 2 * len(self._queues) + SPARE_KEYS
+        queue = self._queues.setdefault(key, KeyQueue())
+        queue.documents.append(document)
+        return queue
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -17,7 +17,7 @@
 from birchstack.emulator.rig.drawn import KINDS, play
 from birchstack.fleet import audit_files, audit_log, records, trail
 from birchstack.keeper import questions, store
-from tests.mutants import Patch, never
+from tests.mutants import Patch, no_op
 
 MUTANTS = {}
 
@@ -95,7 +95,7 @@
         return old(self, at, msgspec.structs.replace(piece, failing=False), *words)
 
     patch.set(store.Store, "take", take)
-    patch.set(audit_files.AuditFiles, "retry", never)
+    patch.set(audit_files.AuditFiles, "retry", no_op)
 
 
 @mutant("folding forgets what the segment before had", ("keeper cut", "keeper killed"), True)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,10 +1,10 @@
-"""Deliberate faults in the sender, one at a time, and how many drawn days the judge takes to find each.
+"""Mutation tests: deliberate faults in the sender, one at a time, and how many random days find each.
 
     python -m tests.mutants [--seeds N] [NAME ...]
 
-Ends with status 1 if one is not found, or if the sender without a fault breaks a rule on days drawn alike.
-Slow (a minute on eight cores), so no part of the fast tests. Days are drawn from all kinds of trouble, but
-for the few faults that need two rare kinds together: there from those, as the table says.
+Exits with status 1 if a fault is not found, or if the unchanged sender breaks a rule on days drawn the same
+way. Takes a minute on eight cores, so it is not part of the fast tests. Days are drawn from all kinds of
+trouble, except for the few faults that need two rare kinds together; the table names the kinds.
 """
 
 import argparse
@@ -16,8 +16,7 @@
 
 import msgspec
 
-from birchstack import decide, settings, state
-from birchstack import interface as our
+from birchstack import decide, interface, settings, state
 from birchstack.emulator.scenario import KINDS, Cold, DocumentType, Group, Scenario, SenderSide, draw
 from birchstack.emulator.virtual import play
 from birchstack.net import calls, discovery, front, ledger, notices, sender
@@ -46,29 +45,31 @@
 
 
 class Patch:
-    """Sets attributes, and puts the old ones back."""
+    """Sets attributes and restores them on undo."""
 
     def __init__(self):
         self._old = []
 
-    def set(self, where, name, value):
-        self._old.append((where, name, where.__dict__.get(name, self)))
-        setattr(where, name, value)
+    def set(self, target, name, value):
+        self._old.append((target, name, target.__dict__.get(name, self)))
+        setattr(target, name, value)
 
     def undo(self):
-        for where, name, old in reversed(self._old):
-            delattr(where, name) if old is self else setattr(where, name, old)
+        for target, name, old in reversed(self._old):
+            delattr(target, name) if old is self else setattr(target, name, old)
 
 
 def mutant(name, base=DAY, kinds=KINDS):
-    def keep(function):
+    """Registers a function that applies a fault, with the scenario and the kinds of trouble to draw from."""
+
+    def register(function):
         MUTANTS[name] = function, base, kinds
         return function
 
-    return keep
+    return register
 
 
-def never(*words, **more):
+def no_op(*arguments, **keywords):
     return None
 
 
@@ -84,7 +85,7 @@
     patch.set(sender.Node, "_settle", settle)
 
 
-@mutant("a told wait is ignored")
+@mutant("a requested wait is ignored")
 def _(patch):
     old = calls.kind_of
     patch.set(calls, "kind_of", lambda answer: (*old(answer)[:2], 0.0))
@@ -92,7 +93,7 @@
 
 @mutant("a drain is ignored")
 def _(patch):
-    patch.set(discovery, "STATES", {**discovery.STATES, "leaving": our.READY})
+    patch.set(discovery, "STATES", {**discovery.STATES, "leaving": interface.READY})
 
 
 @mutant("a call that timed out is left open beside the next")
@@ -100,47 +101,47 @@
     old = calls.Line._timed_out
 
     def timed_out(self):
-        self.close = never
+        self.close = no_op
         old(self)
 
     patch.set(calls.Line, "_timed_out", timed_out)
 
 
-@mutant("a time-out proves that nothing ran")
+@mutant("a time-out counts as proof that nothing ran")
 def _(patch):
-    patch.set(decide, "NEVER_RAN", (*decide.NEVER_RAN, our.TIMEOUT))
-    patch.set(sender, "NEVER_RAN", (*sender.NEVER_RAN, our.TIMEOUT))
+    patch.set(decide, "NEVER_RAN", (*decide.NEVER_RAN, interface.TIMEOUT))
+    patch.set(sender, "NEVER_RAN", (*sender.NEVER_RAN, interface.TIMEOUT))
 
 
-@mutant("an error proves that nothing ran")
+@mutant("an error counts as proof that nothing ran")
 def _(patch):
-    patch.set(decide, "NEVER_RAN", (*decide.NEVER_RAN, our.ERROR))
+    patch.set(decide, "NEVER_RAN", (*decide.NEVER_RAN, interface.ERROR))
 
 
-@mutant("a reset proves that nothing ran")
+@mutant("a reset counts as proof that nothing ran")
 def _(patch):
-    patch.set(decide, "NEVER_RAN", (*decide.NEVER_RAN, our.RESET))
+    patch.set(decide, "NEVER_RAN", (*decide.NEVER_RAN, interface.RESET))
 
 
-@mutant("the window for repeats is off", BRIEF)
+@mutant("the deduplication window is not observed", BRIEF)
 def _(patch):
-    patch.set(state.Document, "known_until", lambda self: float("inf"))
+    patch.set(state.Document, "window_end", lambda self: float("inf"))
 
 
-@mutant("the window of a destination is off", TIGHT)
+@mutant("the concurrency window of a destination is off", TIGHT)
 def _(patch):
-    for name in ("window", "half"):
-        patch.set(decide.Destination, name, property(lambda self: 1e9, never))
+    for name in ("window", "half_slots"):
+        patch.set(decide.Destination, name, property(lambda self: 1e9, no_op))
 
 
-@mutant("the bound on calls out is off", TIGHT)
+@mutant("the bound on calls in flight is off", TIGHT)
 def _(patch):
-    patch.set(decide.Sender, "_out", property(lambda self: 0, never))
+    patch.set(decide.Sender, "_in_flight", property(lambda self: 0, no_op))
 
 
-@mutant("notices are forgotten")
+@mutant("notices are not sent")
 def _(patch):
-    patch.set(notices.Notices, "tell", never)
+    patch.set(notices.Notices, "tell", no_op)
 
 
 @mutant("the expiry is ignored")
@@ -151,7 +152,7 @@
         old(self, now, dataclasses.replace(given, remaining_ms=given.remaining_ms * 3.0))
 
     patch.set(decide.Sender, "document", document)
-    patch.set(sender.Node, "_look_for_overdue", never)
+    patch.set(sender.Node, "_look_for_overdue", no_op)
 
 
 @mutant("bodies lose their last byte")
@@ -196,7 +197,7 @@
     patch.set(ledger.Ledger, "_recover", recover)
 
 
-@mutant("a restart takes what was out for not sent")
+@mutant("a restart treats transmissions in flight as not sent")
 def _(patch):
     old = ledger.Ledger._recover
 
@@ -208,68 +209,68 @@
     patch.set(ledger.Ledger, "_recover", recover)
 
 
-@mutant("nothing is ever ill: no trials, no ramp")
+@mutant("no endpoint is ever ejected: no probes, no warm-up")
 def _(patch):
-    patch.set(decide.Sender, "_falls_ill", never)
-    patch.set(decide.Sender, "_ramped", lambda *words: True)
+    patch.set(decide.Sender, "_eject", no_op)
+    patch.set(decide.Sender, "_warm_up_allows", lambda *arguments: True)
 
 
-@mutant("an endpoint that is back gets no ramp")
+@mutant("an endpoint that returns gets no warm-up")
 def _(patch):
-    patch.set(decide.Sender, "_ramped", lambda *words: True)
+    patch.set(decide.Sender, "_warm_up_allows", lambda *arguments: True)
 
 
-@mutant("each endpoint that is back is ramped for itself, its first call at once")
+@mutant("each endpoint that returns warms up for itself, its first call at once")
 def _(patch):
-    old = decide.Sender._ramped
+    old = decide.Sender._warm_up_allows
 
-    def ramped(self, now, dest, route, ep):
-        route.ramp = ep.__dict__.setdefault("ramp", state.Meter(now))
-        route.ramp.credit = 1.0 if now - (ep.back_at or 0.0) < 100.0 else route.ramp.credit
-        return old(self, now, dest, route, ep)
+    def warm_up_allows(self, now, destination, route, endpoint):
+        route.warm_up = endpoint.__dict__.setdefault("warm_up", state.TokenBucket(now))
+        route.warm_up.tokens = 1.0 if now - (endpoint.returned_at or 0.0) < 100.0 else route.warm_up.tokens
+        return old(self, now, destination, route, endpoint)
 
-    patch.set(decide.Sender, "_ramped", ramped)
+    patch.set(decide.Sender, "_warm_up_allows", warm_up_allows)
 
 
-@mutant("the ramp has no share of warmth")
+@mutant("the warm-up ignores the growing share")
 def _(patch):
-    old = decide.Sender._ramped
+    old = decide.Sender._warm_up_allows
 
-    def ramped(self, *words):
-        told, self._set = self._set, dataclasses.replace(self._set, cold_share=1.0)
+    def warm_up_allows(self, *arguments):
+        saved, self._settings = self._settings, dataclasses.replace(self._settings, cold_share=1.0)
         try:
-            return old(self, *words)
+            return old(self, *arguments)
         finally:
-            self._set = told
+            self._settings = saved
 
-    patch.set(decide.Sender, "_ramped", ramped)
+    patch.set(decide.Sender, "_warm_up_allows", warm_up_allows)
 
 
-@mutant("what a route's endpoints failed together makes none of them ill, and none cold", MANY, ("refusing",))
+@mutant("failures of several endpoints of a route eject none, and leave none cold", MANY, ("refusing",))
 def _(patch):
-    patch.set(decide.Route, "row", property(lambda self: 0, never))
+    patch.set(decide.Route, "failure_run", property(lambda self: 0, no_op))
 
 
-@mutant("what is cold is forgotten with the process", COLD, ("shut_told", "kill", "sigterm"))
+@mutant("cold endpoints are forgotten when the process ends", COLD, ("shut_told", "kill", "sigterm"))
 def _(patch):
-    patch.set(sender.Node, "save_recovery", never)
+    patch.set(sender.Node, "save_recovery", no_op)
 
 
-@mutant("documents of one key go out of turn")
+@mutant("documents of one key are sent out of order")
 def _(patch):
-    patch.set(state.Keyline, "allows", lambda *words: True)
+    patch.set(state.KeyQueue, "allows", lambda *arguments: True)
 
 
-@mutant("a key in doubt does not rest", KEYED)
+@mutant("a key does not rest after a transmission that may have run", KEYED)
 def _(patch):
-    patch.set(state.Keyline, "rest_until", property(lambda self: 0.0, never))
+    patch.set(state.KeyQueue, "rest_until", property(lambda self: 0.0, no_op))
 
 
-@mutant("what is in doubt is rejected, not abandoned")
+@mutant("a document in doubt is rejected, not abandoned")
 def _(patch):
-    def finish(self, doc):
-        self._host.reject(doc.id, 1000.0)
-        self._end(doc)
+    def finish(self, document):
+        self._host.reject(document.id, 1000.0)
+        self._end(document)
 
     patch.set(decide.Sender, "_finish", finish)
 
@@ -278,29 +279,29 @@
 def _(patch):
     old = front.Handed.reply
 
-    def reply(self, *words, **more):
-        self._client._front._loop.call_later(0.5, functools.partial(old, self, *words, **more))
+    def reply(self, *arguments, **keywords):
+        self._client._front._loop.call_later(0.5, functools.partial(old, self, *arguments, **keywords))
 
     patch.set(front.Handed, "reply", reply)
 
 
-@mutant("repeats cost nothing and have no bound")
+@mutant("retries cost nothing and have no bound")
 def _(patch):
-    patch.set(decide, "TOKEN_PER_TRANSMISSION", 1.0)
-    patch.set(decide, "SPARE_REPEATS", 1e6)
-    patch.set(decide, "LONGEST_PAUSE_MS", 50.0)
-    patch.set(decide.Sender, "_falls_ill", never)
+    patch.set(decide, "RETRY_TOKENS_PER_TRANSMISSION", 1.0)
+    patch.set(decide, "SPARE_RETRIES_PER_S", 1e6)
+    patch.set(decide, "MAX_BACKOFF_MS", 50.0)
+    patch.set(decide.Sender, "_eject", no_op)
 
 
-@mutant("the most transmissions are not heeded", TIGHT)
+@mutant("the bound on transmissions is not observed", TIGHT)
 def _(patch):
     old = settings.decode
 
-    def decode(words):
-        return our.Settings(
+    def decode(config):
+        return interface.Settings(
             **{
-                name: getattr(old(words), name)
-                for name in our.Settings.__slots__
+                name: getattr(old(config), name)
+                for name in interface.Settings.__slots__
                 if name != "max_transmissions"
             },
             max_transmissions=99,
@@ -309,26 +310,26 @@
     patch.set(settings, "decode", decode)
 
 
-@mutant("SIGTERM waits for everything that is owed", DAY, ("sigterm", "silent"))
+@mutant("SIGTERM waits for all outstanding documents", DAY, ("sigterm", "silent"))
 def _(patch):
     patch.set(sender, "CALL_S", 8.0)
     patch.set(sender, "END_S", 9.0)
 
 
-@mutant("one outcome in three hundred ends in an exception")
+@mutant("one outcome in three hundred raises an exception")
 def _(patch):
     old, count = decide.Sender._learn, [0]
 
-    def learn(self, *words):
+    def learn(self, *arguments):
         count[0] += 1
         if count[0] % 300 == 0:
             raise ZeroDivisionError
-        old(self, *words)
+        old(self, *arguments)
 
     patch.set(decide.Sender, "_learn", learn)
 
 
-@mutant("an end is told twice, and differently")
+@mutant("the end of a document is notified twice, with different results")
 def _(patch):
     old = sender.Node._owe_notice
 
@@ -339,12 +340,12 @@
     patch.set(sender.Node, "_owe_notice", owe)
 
 
-@mutant("bad clients are left alone")
+@mutant("misbehaving clients are never disconnected")
 def _(patch):
-    patch.set(front.Client, "overdue", never)
+    patch.set(front.Client, "overdue", no_op)
 
 
-@mutant("what the full disk did not take is taken on all the same", DAY, ("disk_full", "kill", "vanish"))
+@mutant("a document that a full disk did not store is accepted", DAY, ("disk_full", "kill", "vanish"))
 def _(patch):
     old, call = ledger.Ledger.take, ledger.Ledger.call
 
@@ -364,9 +365,9 @@
 
 
 def hunt(name, seeds):
-    """How many days it took, and the rule that was broken; 0 days: not found."""
+    """Returns how many days it took to find a fault (0: not found) and the rules that were broken."""
     patch = Patch()
-    apply, base, kinds = MUTANTS[name] if name else (never, DAY, KINDS)
+    apply, base, kinds = MUTANTS[name] if name else (no_op, DAY, KINDS)
     apply(patch)
     try:
         for seed in range(seeds):
@@ -379,23 +380,25 @@
 
 
 def main():
-    words = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    words.add_argument("names", nargs="*", help="parts of names; all by default")
-    words.add_argument("--seeds", type=int, default=60)
-    told = words.parse_args()
-    names = [name for name in MUTANTS if not told.names or any(part in name for part in told.names)]
+    parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
+    parser.add_argument("names", nargs="*", help="parts of names; all by default")
+    parser.add_argument("--seeds", type=int, default=60)
+    options = parser.parse_args()
+    names = [name for name in MUTANTS if not options.names or any(part in name for part in options.names)]
     missed = 0
     print("| fault | troubles drawn from | days until found | rules broken |\n| --- | --- | --- | --- |")
     with ProcessPoolExecutor() as pool:
-        clean = pool.submit(hunt, "", told.seeds)
-        for name, (days, rules) in zip(names, pool.map(hunt, names, [told.seeds] * len(names)), strict=True):
+        clean = pool.submit(hunt, "", options.seeds)
+        for name, (days, rules) in zip(
+            names, pool.map(hunt, names, [options.seeds] * len(names)), strict=True
+        ):
             missed += not days
             kinds = MUTANTS[name][2]
             drawn = "all kinds" if kinds == KINDS else ", ".join(kinds)
             print(f"| {name} | {drawn} | {days or 'NOT FOUND'} | {', '.join(rules)} |", flush=True)
         days, rules = clean.result()
     print(
-        f"\n{len(names) - missed} of {len(names)} found within {told.seeds} days; without a fault: "
+        f"\n{len(names) - missed} of {len(names)} found within {options.seeds} days; without a fault: "
         + (f"BROKEN on day {days}: {rules}" if days else "no rule broken on the same days")
     )
     return 1 if missed or days else 0
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity import alone, audit, cuts, keepers, lists, losses, repeats, repeats_partly
 from benchmarks.capacity.hollow import Hosts
 from benchmarks.capacity.listing import ListService
-from birchstack.decide import REPEAT_SHARE
+from birchstack.decide import RETRY_RATIO
 from birchstack.emulator.rig import site
 from birchstack.emulator.rig.processes import Process, shell, until
 from birchstack.net.discovery import MOST_LIST
@@ -216,8 +216,8 @@
 def test_where_one_endpoint_of_three_is_lost_the_others_serve_all_for_some_minutes():
     first, *_, last = repeats_partly.play(240, 1)
     assert first.given_up == 0 and first.documents > 100
-    assert first.all_repeats / first.all_firsts < REPEAT_SHARE
-    assert last.all_repeats / last.all_firsts < REPEAT_SHARE and last.sent < 0.5 * last.documents
+    assert first.all_repeats / first.all_firsts < RETRY_RATIO
+    assert last.all_repeats / last.all_firsts < RETRY_RATIO and last.sent < 0.5 * last.documents
 
 
 def test_what_a_machine_takes_with_it_is_lost_and_nothing_else_is():
--- a/tests/test_capacity_sender.py
+++ b/tests/test_capacity_sender.py
@@ -12,8 +12,12 @@
 from birchstack.net import recoveries as kept
 from birchstack.net.discovery import MOST_LIST
 
-FILL, HOPELESS, SPARES = "decide.py Sender._fill", "decide.py Sender._hopeless", "decide.py Sender._spares"
-LOOK, END = "decide.py Sender._look", "decide.py Sender._end"
+FILL, HOPELESS, SPARES = (
+    "decide.py Sender._fill",
+    "decide.py Sender._answer_unreachable",
+    "decide.py Sender._degraded_slots_left",
+)
+LOOK, END = "decide.py Sender._find_best", "decide.py Sender._end"
 ROOM, TURN, LIST = "decide.py Sender._make_room", "decide.py Sender.turn", "decide.py Sender.endpoints"
 # Functions that go through all there are of what varies, and by which power; {}: nothing does
 WALKS = {
@@ -27,7 +31,7 @@
         "node: a list change": {FILL: 1, HOPELESS: 1, SPARES: 1, LIST: 1},
         "node: a look for the overdue": {},
         "node: an end untried": {},
-        "node: its figures": {"decide.py Sender.avoided": 1},
+        "node: its figures": {"decide.py Sender.ejected_endpoints": 1},
     },
     "down": {
         "decisions: a document": {FILL: 1, HOPELESS: 1},
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -43,7 +43,7 @@
             if story.tries(doc):
                 well = story.calls[-1][1] == "b" or number > 20
                 story.ends(doc, our.OK if well else our.TIMEOUT, 100.0)
-                story.sender._endpoints["b"].idle.clear()  # no connection draws it there
+                story.sender._endpoints["b"].idle_since.clear()  # no connection draws it there
     assert len(story.logs) == 2 and "back" in story.logs[1]
 
 
@@ -200,10 +200,10 @@
     story = Story()
     story.back(["d"], kind, **past)
     assert story.tries("d") == 1
-    for _ in range(story.sender._set.max_transmissions - past["sent"] - 1):
+    for _ in range(story.sender._settings.max_transmissions - past["sent"] - 1):
         story.ends("d", our.CONNECT_FAILED, 100)
         story.at(story.now + 5000.0 if story.tries("d") == 1 else story.now + 2500.0)
-    assert past["sent"] + story.tries("d") <= story.sender._set.max_transmissions
+    assert past["sent"] + story.tries("d") <= story.sender._settings.max_transmissions
 
 
 def test_a_numbered_document_whose_window_passed_with_the_restart_is_not_sent():
@@ -306,11 +306,11 @@
             for each in (
                 sender._endpoints,
                 sender._destinations,
-                sender._keys,
-                sender._lying,
+                sender._key_queues,
+                sender._idle_changed,
                 sender._held,
-                sender._flying,
-                sender._ends,
+                sender._answered_in_flight,
+                sender._last_starts,
             )
         )
         < 100
@@ -331,7 +331,7 @@
     story = Story()
     story.take("d1")
     story.ends("d1", our.OK, 50.0, reusable=False)
-    assert not story.sender._endpoints["a"].idle and not story.sender._lying
+    assert not story.sender._endpoints["a"].idle_since and not story.sender._idle_changed
 
 
 @pytest.mark.parametrize(("failures", "most"), [(0, 20), (4, 3)])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -96,7 +96,7 @@
         node._turn()
         node._turn()
         assert handed.said == [(CLOSED, 3000.0)] and not node._core._held and not len(node._calls)
-        assert node._core._out == 0
+        assert node._core._in_flight == 0
 
     node.run(story)
 
@@ -131,7 +131,7 @@
                 node._ledger.done(node._ledger.owed[handed.id])
         node._turn()
         assert len(node._answers) <= 4096 and not node._ledger.owed and not node._core._held
-        assert len(node._core._ends) < 5000 and not node._fresh and not node._starting
+        assert len(node._core._last_starts) < 5000 and not node._fresh and not node._starting
 
     node.run(story)
 
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -4,9 +4,9 @@
 from fake import Story
 
 from birchstack import interface as our
-from birchstack.state import mark
+from birchstack.state import endpoint_tag
 
-A = mark("a")
+A = endpoint_tag("a")
 
 
 def hears(story, *notes, each_ms=10.0):
@@ -218,14 +218,14 @@
     story.ends("d", our.FULL, 10.0, wait_ms=3000.0)
     apart = our.Settings(
         **{
-            name: getattr(story.sender._set, name)
+            name: getattr(story.sender._settings, name)
             for name in our.Settings.__slots__
             if name not in ("routes_apart", "types")
         },
         routes_apart=(True,),
         types=(),
     )
-    for settings in (apart, story.sender._set, apart):
+    for settings in (apart, story.sender._settings, apart):
         story.sender.reconfigure(story.now, settings)
         story.sender.turn(story.now)
     story.at(3000.0)
@@ -238,7 +238,7 @@
     firsts = set()
     for seed in range(12):
         story = Story(endpoints=("a", "b"))
-        story.sender = type(story.sender)(story.sender._set, seed, story)
+        story.sender = type(story.sender)(story.sender._settings, seed, story)
         story.listed(["a", "b"])
         for doc in ("d", "e", "f"):
             story.take(doc)
@@ -271,7 +271,7 @@
             story.take(f"d{number}")
             story.ends(f"d{number}", our.OK, 100.0)
         usual = story.sender._destinations[1]
-        sent[apart] = usual.usual(story.now) / usual.rate(story.now)
+        sent[apart] = usual.route_rate(story.now) / usual.rate(story.now)
     assert sent == {True: 0.5, False: 1.0}
     story = Story(endpoints=("a", "b"), routes_apart=(True,), slots=40, notes=True)
     for number in range(8):
--- a/tests/test_recoveries.py
+++ b/tests/test_recoveries.py
@@ -236,7 +236,7 @@
         story.take(f"d{number}")
         story.at(story.now + 300.0)
         end_calls(story, our.ERROR)
-    assert story.sender.avoided() == ["a", "b"]
+    assert story.sender.ejected_endpoints() == ["a", "b"]
     assert sorted((each.endpoint, each.stage) for each in story.remembered) == [("a", DOWN), ("b", DOWN)]
 
 
@@ -274,7 +274,7 @@
 
 def test_what_was_down_gets_one_call_and_not_at_once():
     story = recovered(Recovery("a", DOWN, 5000.0, 20, 10_000.0), found=15)
-    assert not story.calls and story.sender.avoided() == ["a"]
+    assert not story.calls and story.sender.ejected_endpoints() == ["a"]
     assert calls_by(story, 5000.0) == 1
 
 
@@ -306,7 +306,7 @@
     fresh = Story(slots=40)
     fresh.back([f"d{number}" for number in range(15)])
     (dest,) = fresh.sender._destinations.values()
-    assert dest.taken == 15, "where no rate was known they are all there is to go by"
+    assert dest.received == 15, "where no rate was known they are all there is to go by"
 
 
 def test_nothing_is_held_back_where_nobody_was_ever_away():
--- a/tests/test_signals_days.py
+++ b/tests/test_signals_days.py
@@ -25,7 +25,7 @@
             for route in dest.routes:
                 route.wait_until = 0.0
                 for ep in route.endpoints:
-                    ep.ill = False
+                    ep.ejected = False
 
     seed = next(
         seed
--- a/tests/test_signals_decisions.py
+++ b/tests/test_signals_decisions.py
@@ -26,7 +26,7 @@
 
 
 def ill(story):
-    return story.sender.avoided() == ["a"]
+    return story.sender.ejected_endpoints() == ["a"]
 
 
 def test_nothing_is_told_before_signals_come():
@@ -239,7 +239,7 @@
     story = linked()
     story.at(11_000.0)
     failing(story)
-    story.sender._destinations[1].routes[0].trial_at = 1e9
+    story.sender._destinations[1].routes[0].next_probe_at = 1e9
     story.take("d", left=900_000.0)
     story.at(70_000.0)
     assert not story.calls
--- a/tests/test_signals_rig.py
+++ b/tests/test_signals_rig.py
@@ -284,7 +284,7 @@
 
 
 def ill(rig, name):
-    return bool(rig[name].node._core.avoided())
+    return bool(rig[name].node._core.ejected_endpoints())
 
 
 def hand_in(rig, names, many, every_ms=50.0):
