--- a/birchstack/decide.py
+++ b/birchstack/decide.py
@@ -98,13 +98,17 @@
 STALE_RESET_RATE = 0.4  # a class with a higher reset rate is stale
 STALE_FOR_MS = 20000.0  # a class stays stale this long
 ANSWER_TIME_WEIGHT = 0.05  # weight of one call in the answer time over all endpoints
+
+# Bounds on notes between senders
+FLEET_NOTES_PER_S = 20.0  # notes of all senders together
+NOTE_BURST = 3.0  # notes of one sender at once
+
+# Rates and warm-up
 BUCKET_MS = 1000.0  # bucket width of rate windows
 BUCKETS = 8
 WARM_UP_RATE_FACTOR = 1.2  # a cold endpoint gets its warm-up share of the usual rate times this
 
-# Notes between senders
-FLEET_NOTES_PER_S = 20.0  # notes of all senders together
-NOTE_BURST = 3.0  # notes of one sender at once
+# Content and effect of notes between senders
 NOTE_INTERVAL_MS = 500.0  # least time between two notes about one endpoint
 FAILURE_HALF_LIFE_MS = 1000.0  # half-life of the count of recent failures
 NO_IDLE_MS = 60000.0  # no connections stay idle for this long after one was denied
