--- a/tests/test_signals_decisions.py
+++ b/tests/test_signals_decisions.py
@@ -1,244 +1,245 @@
-"""What the decisions make of reports from other senders, and what they tell: stories on the fake host."""
+"""Tests of reports received from other senders and observations shared with them, on a fake host."""
 
 import pytest
 from fake import Story
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.interface import Report, SignalKind
 
 WAIT, SERVED, FAILED = SignalKind
 
 
-def linked(**settings):
+def with_signals(**settings):
+    """Returns a story of a sender that receives signals in a fleet of 200."""
     story = Story(**{"senders": 200, **settings})
     story.at(10_000.0)
     story.sender.signals_available(story.now, True)
     return story
 
 
-def reported(story, **words):
-    story.sender.report_received(story.now, Report("a", **words))
+def report(story, **fields):
+    story.sender.report_received(story.now, Report("a", **fields))
     story.sender.turn(story.now)
 
 
-def failing(story, by=16, **words):
-    reported(story, failed_by=by, first_ms=900.0, last_ms=100.0, **words)
+def report_failures(story, by=16, **fields):
+    report(story, failed_by=by, first_ms=900.0, last_ms=100.0, **fields)
 
 
-def ill(story):
+def ejected(story):
     return story.sender.ejected_endpoints() == ["a"]
 
 
-def test_nothing_is_told_before_signals_come():
+def test_nothing_is_shared_before_signals_are_available():
     story = Story(senders=200)
     story.take("d")
-    story.ends("d", our.ERROR)
+    story.ends("d", interface.ERROR)
     story.take("e")
-    story.ends("e", our.FULL, wait_ms=9000.0)
+    story.ends("e", interface.FULL, wait_ms=9000.0)
     assert not story.observations
 
 
-def test_failures_and_what_is_served_after_them_are_told():
-    story = linked()
+def test_failures_and_the_first_success_after_them_are_shared():
+    story = with_signals()
     story.take("d")
-    story.ends("d", our.OK)
-    assert not story.observations, "all is well"
+    story.ends("d", interface.OK)
+    assert not story.observations, "a success without failures before it is not shared"
     story.take("e")
-    story.ends("e", our.ERROR, after=100.0)
+    story.ends("e", interface.ERROR, after=100.0)
     assert story.observations == [("a", FAILED, 0.0)]
     story.at(200_000.0)
     story.take("g")
-    story.ends("g", our.OK)
+    story.ends("g", interface.OK)
     assert story.observations[1:] == [("a", SERVED, 0.0)]
 
 
-@pytest.mark.parametrize("wait_ms, told", [(1500.0, []), (9000.0, [("a", WAIT, 9000.0)])])
-def test_a_long_wait_is_told_and_a_short_one_is_a_limits_span(wait_ms, told):
-    story = linked()
+@pytest.mark.parametrize("wait_ms, shared", [(1500.0, []), (9000.0, [("a", WAIT, 9000.0)])])
+def test_a_long_requested_wait_is_shared_and_a_short_one_belongs_to_a_limit(wait_ms, shared):
+    story = with_signals()
     story.take("d")
-    story.ends("d", our.FULL, wait_ms=wait_ms)
-    assert story.observations == told
+    story.ends("d", interface.FULL, wait_ms=wait_ms)
+    assert story.observations == shared
 
 
-def test_no_single_observer_makes_an_endpoint_ill_and_a_quorum_does():
-    story = linked()
-    failing(story, by=1)
-    failing(story, by=2)
-    assert not ill(story)
-    failing(story, by=3)
-    assert ill(story) and "told" in story.logs[0]
+def test_a_quorum_of_observers_ejects_an_endpoint_and_fewer_do_not():
+    story = with_signals()
+    report_failures(story, by=1)
+    report_failures(story, by=2)
+    assert not ejected(story)
+    report_failures(story, by=3)
+    assert ejected(story) and "told" in story.logs[0]
     story.take("d")
-    assert not story.calls, "its first call would go to one known to be down"
+    assert not story.calls, "its first call would go to an endpoint that is known to be down"
 
 
 @pytest.mark.parametrize("senders", [2, 3, 4])
-def test_in_a_small_fleet_two_others_suffice_and_one_never(senders):
-    story = linked(senders=senders)
-    failing(story, by=1)
-    assert not ill(story)
-    failing(story, by=2)
-    assert ill(story)
+def test_in_a_small_fleet_two_observers_are_a_quorum_and_one_never_is(senders):
+    story = with_signals(senders=senders)
+    report_failures(story, by=1)
+    assert not ejected(story)
+    report_failures(story, by=2)
+    assert ejected(story)
 
 
-def test_the_more_traffic_the_more_observers_it_takes():
-    story = linked(senders=100)
-    for number in range(80):  # 10 a second here, and 1,000 of all
+def test_the_quorum_grows_with_the_traffic():
+    story = with_signals(senders=100)
+    for number in range(80):  # 10 per second here, and 1,000 over all senders
         story.take(f"d{number}")
-        story.ends(f"d{number}", our.OK, after=100.0)
+        story.ends(f"d{number}", interface.OK, after=100.0)
     story.at(story.now + 2000.0)
-    failing(story, by=15)
-    assert not ill(story)
-    failing(story, by=16)
-    assert ill(story)
+    report_failures(story, by=15)
+    assert not ejected(story)
+    report_failures(story, by=16)
+    assert ejected(story)
 
 
-def test_an_own_success_counts_more_than_any_failures_told_that_began_before_it():
-    story = linked()
+def test_an_own_success_outweighs_reported_failures_that_began_before_it():
+    story = with_signals()
     story.at(15_000.0)
     story.take("d")
-    story.ends("d", our.OK)
-    reported(story, failed_by=16, first_ms=1.0, last_ms=0.0)
-    assert not ill(story)
+    story.ends("d", interface.OK)
+    report(story, failed_by=16, first_ms=1.0, last_ms=0.0)
+    assert not ejected(story)
     story.at(16_000.0)
-    reported(story, failed_by=16, first_ms=500.0, last_ms=0.0)
-    assert ill(story)
+    report(story, failed_by=16, first_ms=500.0, last_ms=0.0)
+    assert ejected(story)
 
 
-def test_failures_that_began_before_somebody_was_served_count_no_more_whoever_tells_them():
-    story = linked()
+def test_reported_failures_that_began_before_a_reported_success_do_not_count():
+    story = with_signals()
     story.at(15_000.0)
-    reported(story, served_ms=50.0)
-    failing(story)
-    assert not ill(story), "from another keeper, which had not heard of it"
+    report(story, served_ms=50.0)
+    report_failures(story)
+    assert not ejected(story), "the failures came from another keeper, which did not know of the success"
 
 
-def test_who_is_served_where_failures_are_told_says_so():
-    story = linked()
-    failing(story, by=1)
+def test_a_success_after_reported_failures_is_shared():
+    story = with_signals()
+    report_failures(story, by=1)
     story.take("d")
-    story.ends("d", our.OK)
+    story.ends("d", interface.OK)
     assert story.observations == [("a", SERVED, 0.0)]
-    reported(story, served_ms=0.0)
+    report(story, served_ms=0.0)
     story.take("e")
-    story.ends("e", our.OK, after=500.0)
-    assert len(story.observations) == 1, "the others know"
+    story.ends("e", interface.OK, after=500.0)
+    assert len(story.observations) == 1, "the other senders know already"
 
 
-def test_a_told_wait_is_kept_by_all_who_know_of_it():
-    story = linked()
-    reported(story, wait_ms=6000.0, wait_age_ms=500.0)
+def test_a_reported_wait_is_observed():
+    story = with_signals()
+    report(story, wait_ms=6000.0, wait_age_ms=500.0)
     story.take("d")
     story.at(15_999.0)
-    assert not story.calls and ill(story)
+    assert not story.calls and ejected(story)
     story.at(120_000.0)
     story.take("e")
     story.at(240_000.0)
     assert story.calls
 
 
-def test_a_wait_that_several_keepers_tell_is_taken_once_and_a_longer_one_again():
-    story = linked()
+def test_a_wait_reported_by_several_keepers_is_applied_once_and_a_longer_one_again():
+    story = with_signals()
     for wait_ms in (6000.0, 5990.0, 6050.0):
-        reported(story, wait_ms=wait_ms)
+        report(story, wait_ms=wait_ms)
     assert len(story.logs) == 1
-    reported(story, wait_ms=9000.0)
+    report(story, wait_ms=9000.0)
     assert len(story.logs) == 2
 
 
-def test_a_wait_that_was_told_before_an_own_success_is_over():
-    story = linked()
+def test_a_wait_that_was_requested_before_an_own_success_is_ignored():
+    story = with_signals()
     story.at(15_000.0)
     story.take("d")
-    story.ends("d", our.OK)
-    reported(story, wait_ms=6000.0, wait_age_ms=500.0)
+    story.ends("d", interface.OK)
+    report(story, wait_ms=6000.0, wait_age_ms=500.0)
     story.take("e")
     assert story.tries("e") == 1
 
 
-def test_a_served_call_during_a_told_wait_does_not_end_it():
-    story = linked()
-    reported(story, wait_ms=6000.0)
+def test_a_reported_success_during_a_requested_wait_does_not_end_the_wait():
+    story = with_signals()
+    report(story, wait_ms=6000.0)
     story.at(11_000.0)
-    reported(story, served_ms=10.0, wait_ms=5000.0, wait_age_ms=1000.0)
-    assert ill(story)
+    report(story, served_ms=10.0, wait_ms=5000.0, wait_age_ms=1000.0)
+    assert ejected(story)
     story.take("d")
     story.at(15_990.0)
     assert not story.calls
 
 
-def test_a_return_that_is_reported_begins_the_ramp():
-    story = linked()
+def test_a_reported_return_starts_the_warm_up():
+    story = with_signals()
     story.at(11_000.0)
-    failing(story)
+    report_failures(story)
     for number in range(8):
         story.take(f"d{number}")
-    reported(story, served_ms=5.0)
-    assert not ill(story) and "back" in story.logs[-1]
+    report(story, served_ms=5.0)
+    assert not ejected(story) and "back" in story.logs[-1]
     story.at(story.now + 1000.0)
     assert len(story.calls) <= 1, "cold"
 
 
-def test_a_return_that_others_saw_before_it_failed_is_none():
-    story = linked()
+def test_a_reported_success_before_the_last_reported_failure_is_no_return():
+    story = with_signals()
     story.at(15_000.0)
-    failing(story)
-    reported(story, served_ms=1000.0)
-    assert ill(story), "failures were seen after it, as another keeper told"
+    report_failures(story)
+    report(story, served_ms=1000.0)
+    assert ejected(story), "another keeper reported failures after it"
 
 
-def test_an_own_failure_after_what_others_were_served_counts_more():
-    story = linked(senders=2)
+def test_an_own_failure_outweighs_a_reported_success_before_it():
+    story = with_signals(senders=2)
     story.at(15_000.0)
     for number in range(3):
         story.take(f"d{number}")
     for number in range(3):
-        story.ends(f"d{number}", our.TIMEOUT)
-    assert ill(story)
+        story.ends(f"d{number}", interface.TIMEOUT)
+    assert ejected(story)
     story.at(15_140.0)
-    reported(story, served_ms=150.0)
-    assert ill(story)
-    reported(story, served_ms=5.0)
-    assert not ill(story)
+    report(story, served_ms=150.0)
+    assert ejected(story)
+    report(story, served_ms=5.0)
+    assert not ejected(story)
 
 
-def test_returns_that_are_only_told_are_believed_now_and_then():
-    story = linked()
+def test_a_return_that_is_only_reported_is_trusted_once_in_an_interval():
+    story = with_signals()
     for at in (11_000.0, 12_000.0):
         story.at(at)
-        failing(story)
-        reported(story, served_ms=5.0)
-        assert ill(story) == (at == 12_000.0)
+        report_failures(story)
+        report(story, served_ms=5.0)
+        assert ejected(story) == (at == 12_000.0)
     story.at(43_000.0)
-    failing(story)
-    reported(story, served_ms=5.0)
-    assert not ill(story)
+    report_failures(story)
+    report(story, served_ms=5.0)
+    assert not ejected(story)
 
 
-def trials_of(stories, seconds):
-    """Calls of all, each handed a document every 10 s."""
+def count_probes(stories, seconds):
+    """Returns the calls of all senders, each of which receives a document every 10 s."""
     for story in stories:
         story.at(11_000.0)
-        failing(story)
-        for turn in range(int(seconds / 10)):
+        report_failures(story)
+        for number in range(int(seconds / 10)):
             story.at(story.now + 10_000.0)
-            story.take(f"d{turn}")
+            story.take(f"d{number}")
             while pending := [doc for doc, _ in story.calls if story.tries(doc) > story.ends_of(doc)]:
-                story.ends(pending[0], our.ERROR, over=False)
+                story.ends(pending[0], interface.ERROR, over=False)
     return sum(len(story.calls) for story in stories)
 
 
-def test_together_they_try_an_endpoint_that_is_down_about_as_often_as_one_would():
-    stories = [linked(senders=200, max_transmissions=99) for _ in range(40)]
+def test_all_senders_together_probe_an_endpoint_about_as_often_as_one_would():
+    stories = [with_signals(senders=200, max_transmissions=99) for _ in range(40)]
     for seed, story in enumerate(stories):
         story.sender._draw = __import__("random").Random(seed).uniform
-    calls = trials_of(stories, 400.0)
-    assert 0.5 < calls / 400.0 * 200 / 40 < 4.0, "two a second of all 200"
+    calls = count_probes(stories, 400.0)
+    assert 0.5 < calls / 400.0 * 200 / 40 < 4.0, "two per second over all 200 senders"
 
 
-def test_where_signals_come_no_more_it_tries_by_itself_as_ever():
-    story = linked()
+def test_a_sender_probes_by_itself_when_signals_become_unavailable():
+    story = with_signals()
     story.at(11_000.0)
-    failing(story)
+    report_failures(story)
     story.sender._destinations[1].routes[0].next_probe_at = 1e9
     story.take("d", left=900_000.0)
     story.at(70_000.0)
@@ -249,16 +250,16 @@
     assert story.calls
 
 
-def test_a_report_of_what_is_not_listed_is_skipped():
-    story = linked()
+def test_a_report_of_an_unknown_endpoint_is_ignored():
+    story = with_signals()
     story.sender.report_received(0.0, Report("nowhere", failed_by=16, wait_ms=9000.0))
     story.take("d")
     assert story.calls
 
 
-def test_a_return_through_signals_does_not_stir_a_turn_where_nothing_changed():
-    story = linked()
+def test_a_reported_success_that_changes_nothing_causes_no_turn():
+    story = with_signals()
     alarms = len(story.alarms)
-    reported(story, served_ms=5.0)
-    reported(story, served_ms=1.0)
+    report(story, served_ms=5.0)
+    report(story, served_ms=1.0)
     assert len(story.alarms) == alarms
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -1,6 +1,8 @@
-"""The window for repeats: what may have run and is numbered is sent again only while its endpoint knows it.
+"""Tests of the deduplication window: a numbered document that may have run is repeated only within it.
 
-Real processes, ended while a call was out; the times are the endpoint's, taken when a call has come whole."""
+They run real processes that end while a call is in flight. Times are taken at the endpoint, when a call has
+arrived completely.
+"""
 
 import asyncio
 import signal
@@ -13,6 +15,7 @@
 
 
 def play(folder, story, window, known=True, **limits):
+    """Runs a story with numbered document types whose deduplication window has the given length."""
     services = [
         {
             "name": name,
@@ -28,26 +31,26 @@
     ]
     changes = {
         "settings__services": services,
-        **{f"settings__limits__{key}": each for key, each in limits.items()},
+        **{f"settings__limits__{key}": value for key, value in limits.items()},
     }
 
-    async def whole():
+    async def run():
         (folder / "state").mkdir()
         async with World(folder / "state", known, changes) as world:
-            world.at = []  # when each call came
-            world.on_call = lambda: world.at.append(time.monotonic())
+            world.arrivals = []  # when each call arrived
+            world.on_call = lambda: world.arrivals.append(time.monotonic())
             await asyncio.wait_for(story(world), 20.0)
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-async def over(world, window):
-    """Waits until the first call is so long ago."""
-    await asyncio.sleep(max(0.0, world.at[0] + window / 1000.0 - time.monotonic()))
+async def window_over(world, window):
+    """Waits until the window of the first call is over."""
+    await asyncio.sleep(max(0.0, world.arrivals[0] + window / 1000.0 - time.monotonic()))
 
 
-async def ended(world, doc_id="d1", calls=1, result="bounced"):
-    """The document is answered, and was not sent again; the sender serves."""
+async def assert_not_repeated(world, doc_id="d1", calls=1, result="bounced"):
+    """Checks that the document was answered and not transmitted again, and that the sender still serves."""
     assert await world.until(lambda: world.notices)
     assert [(each["ref"], each["result"]) for each in world.notices] == [(doc_id, result)]
     world.answers = []
@@ -57,14 +60,15 @@
     assert [doc for doc, *_ in world.calls].count(doc_id) == calls
 
 
-async def sent_again(world, calls=2):
+async def assert_repeated(world, calls=2):
+    """Checks that the document was transmitted again and delivered, with no notice."""
     assert await world.until(lambda: len(world.calls) == calls)
     assert await world.until(lambda: '["done","d1"' in world.on_disk()) and not world.notices
 
 
 @pytest.fixture
-def stepped(tmp_path, monkeypatch):
-    """Steps the wall clock of each process that starts from now on."""
+def wall_clock_step(tmp_path, monkeypatch):
+    """Returns a function that steps the wall clock of every process started after it is called."""
 
     def step(seconds):
         (tmp_path / "sitecustomize.py").write_text(
@@ -85,65 +89,66 @@
         (signal.SIGKILL, "order", LONG, 3600, None),
     ],
 )
-def test_a_window_that_ended_before_the_start_is_over_whatever_the_wall_clock_says(
-    tmp_path, stepped, number, kind, window, step, result
+def test_a_window_that_ended_before_a_restart_is_over_even_if_the_wall_clock_is_stepped(
+    tmp_path, wall_clock_step, number, kind, window, step, result
 ):
     async def story(world):
         world.answers = [SILENT]
         assert (await world.hand_in("d1", kind, left=19000))[0] == 202
-        assert await world.until(lambda: world.at)
+        assert await world.until(lambda: world.arrivals)
         await world.kill(number)
-        await over(world, SHORT)
-        stepped(step)
+        await window_over(world, SHORT)
+        wall_clock_step(step)
         await world.start()
-        await (ended(world, result=result) if result else sent_again(world))
+        await (assert_not_repeated(world, result=result) if result else assert_repeated(world))
 
     play(tmp_path, story, window)
 
 
 @pytest.mark.parametrize("window", [SHORT, LONG])
-def test_a_window_that_ends_while_a_start_waits_for_its_list_is_over(tmp_path, window):
+def test_a_window_can_end_while_a_restarted_sender_waits_for_the_endpoint_list(tmp_path, window):
     async def story(world):
         whole = {"rev": 9, "all": True, "targets": [world.entry()]}
         world.answers = [SILENT]
         world.say(whole)
         assert (await world.hand_in("d1", "order", left=19000))[0] == 202
-        assert await world.until(lambda: world.at)
+        assert await world.until(lambda: world.arrivals)
         await world.kill(signal.SIGKILL)
-        await world.start()  # discovery is silent, and no endpoint was known
-        await over(world, SHORT + 100.0)
-        if window == SHORT:  # answered at once: no list would help it
+        await world.start()  # discovery is silent, and no endpoint is known
+        await window_over(world, SHORT + 100.0)
+        if window == SHORT:  # answered at once, as no list could help
             assert await world.until(lambda: world.notices, 0.5)
         world.lines = [whole]
         world.say(whole)
-        await (ended(world) if window == SHORT else sent_again(world))
+        await (assert_not_repeated(world) if window == SHORT else assert_repeated(world))
 
     play(tmp_path, story, window, known=False)
 
 
-def test_of_several_calls_that_may_have_run_the_first_one_counts_over_restarts_too(tmp_path):
+def test_of_several_calls_that_may_have_run_the_first_one_starts_the_window_across_restarts(tmp_path):
     async def story(world):
         world.answers = [SILENT, SILENT]
         assert (await world.hand_in("d1", "order", left=19000))[0] == 202
-        assert await world.until(lambda: world.at)
+        assert await world.until(lambda: world.arrivals)
         await world.kill(signal.SIGTERM)
         await world.start()
-        assert await world.until(lambda: len(world.at) == 2)
+        assert await world.until(lambda: len(world.arrivals) == 2)
         await world.kill(signal.SIGKILL)
-        await over(world, 6 * SHORT)  # the second one's window is still open
+        await window_over(world, 6 * SHORT)  # counted from the second call the window would be open
         await world.start()
-        await ended(world, calls=2)
+        await assert_not_repeated(world, calls=2)
 
     play(tmp_path, story, 6 * SHORT)
 
 
 @pytest.mark.parametrize("window", [2 * SHORT, LONG])
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(tmp_path, window):
+def test_a_repeat_whose_connection_opens_after_the_window_is_not_written(tmp_path, window):
     async def story(world):
-        shut, said = Shut(), asyncio.get_running_loop().create_future()
-        world.answers = [said]
+        shut = Shut()
+        first_answer = asyncio.get_running_loop().create_future()
+        world.answers = [first_answer]
         assert (await world.hand_in("d1", "order", left=19000))[0] == 202
-        assert await world.until(lambda: world.at)
+        assert await world.until(lambda: world.arrivals)
         world.say(
             {
                 "rev": 8,
@@ -151,11 +156,11 @@
                 "targets": [world.entry(place=shut.place), world.entry("leaving", "s-2")],
             }
         )
-        while "pool_size=2\n" not in (await world.operator("GET", "/metrics"))[1]:  # it has heard
+        while "pool_size=2\n" not in (await world.operator("GET", "/metrics"))[1]:  # the change has arrived
             await asyncio.sleep(0.01)
-        said.set_result(answer(500))  # it may have run
+        first_answer.set_result(answer(500))  # the document may have run
         await shut.dialled(world)
-        await over(world, window if window < LONG else 0.0)
+        await window_over(world, window if window < LONG else 0.0)
         await shut.open()
         assert await world.until(lambda: shut.heard)
         if window == LONG:
