--- a/birchstack/decide.py
+++ b/birchstack/decide.py
@@ -61,16 +61,15 @@
 # Probes of ejected endpoints, and the slots that degraded destinations may use
 PROBE_INTERVAL_MS = 300.0  # initial, doubles with each failed probe; a call that fails sooner failed at once
 MAX_PROBE_INTERVAL_MS = 2000.0
-PROBE_SPACING = (
-    2000.0  # over documents/s: the usual time of 2 documents in ms, used if longer than the maximum
-)
+# divided by documents per second: the usual time of 2 documents in ms, used if longer than the maximum
+PROBE_SPACING = 2000.0
 DEGRADED_SLOTS_PART = 0.5  # of half the slots, the part that all degraded destinations may use together
 
 # Pacing under a destination's limit; the share of the limit changes in proportion to the sender's own part
 CUT_FACTOR = 0.6  # a cut multiplies the share by this for one of many senders
-CUT_FACTOR_ALONE = 0.2  # added for a lone sender, so that it cuts less
+CUT_FACTOR_ALONE = 0.2  # added in proportion to the own part: a lone sender cuts less
 GROWTH_PER_S = 0.2  # growth of the share per second, in own parts, for one of many senders
-GROWTH_PER_S_ALONE = 0.1  # added for a lone sender, so that it grows faster
+GROWTH_PER_S_ALONE = 0.1  # added in proportion to the own part: a lone sender grows faster
 OWN_PART_FACTOR = 2.0  # the own part is this many times the sender's part of the traffic
 REFUSED_PART_FACTOR = 0.4  # the same if everything is refused and calls are too few to tell
 CUT_HEADROOM = 0.2  # the share is cut if less headroom is reported
@@ -117,7 +116,7 @@
 MIN_FLEET_PROBES_PER_S = 2.0  # least probes per second of all senders together
 PROBE_TRAFFIC_SHARE = 0.1  # probes as a share of the usual traffic, if that is more
 FAILED_TRAFFIC_SHARE = 0.3  # failures count as an outage if they are this share of the usual traffic
-NOTE_FAILED = "f"  # codes of what a note says about an endpoint
+NOTE_FAILED = "f"  # the codes of what a note says about an endpoint
 NOTE_WAIT = "w"
 NOTE_SERVES = "s"
 NOTE_RETURNED = "b"
@@ -197,19 +196,21 @@
             for endpoint in ready
         )
 
-    def grow_share(self, now: float, own: float, top: float) -> None:
+    def grow_share(self, now: float, own_part: float, most: float) -> None:
         """Grows the share of the limit with the time since the last change, up to a bound."""
         step = (
-            own * (GROWTH_PER_S + GROWTH_PER_S_ALONE * own) * min(1.0, (now - self.share_updated_at) / 1000.0)
+            own_part
+            * (GROWTH_PER_S + GROWTH_PER_S_ALONE * own_part)
+            * min(1.0, (now - self.share_updated_at) / 1000.0)
         )
-        self.share = min(top, self.share + step)
+        self.share = min(most, self.share + step)
         self.share_updated_at = now
 
-    def cut_share(self, now: float, own: float, least: float) -> None:
+    def cut_share(self, now: float, own_part: float, least: float) -> None:
         """Cuts the share of the limit, at most once in CUT_INTERVAL_MS."""
         self.share_updated_at = now
         if now >= self.next_cut_at:
-            self.share = max(min(self.share, own) * (CUT_FACTOR + CUT_FACTOR_ALONE * own), least)
+            self.share = max(min(self.share, own_part) * (CUT_FACTOR + CUT_FACTOR_ALONE * own_part), least)
             self.next_cut_at = now + CUT_INTERVAL_MS  # calls refused together cause one cut
 
 
@@ -345,14 +346,13 @@
 
     def document(self, now: float, given: interface.Submission) -> None:
         """Accepts a document and starts its delivery."""
-        self._sequence = self._sequence + 1
+        self._sequence += 1
         self._changed = True
         destination = self._destination(given.destination, now)
         history = given.history
         tenant = given.tenant
-        destination.received += not (
-            destination.restored_rate and history is not interface.NO_HISTORY
-        )  # restored documents are part of a restored rate
+        # restored documents are part of a restored rate
+        destination.received += not (destination.restored_rate and history is not interface.NO_HISTORY)
         destination.failed_before_restart += history.failed
         destination.restored_documents = destination.restored_documents or history is not interface.NO_HISTORY
         if history.failed:
@@ -467,18 +467,17 @@
 
     def turn(self, now: float) -> None:
         """Ends a group of events: answers what cannot be delivered in time, then fills free slots."""
-        if (
-            not self._changed and now < self._alarm - ALARM_TOLERANCE_MS
-        ):  # only notes came, which free nothing
+        if not self._changed and now < self._alarm - ALARM_TOLERANCE_MS:  # only notes came: nothing is free
             return
         self._changed = False
         for destination in [
             self._failed_before_restart.pop(number) for number in [*self._failed_before_restart]
         ]:
             for endpoint in [each for route in destination.routes for each in route.endpoints]:
+                # an ejected endpoint gets one call first
                 endpoint.ejected |= destination.on_disk > 0 or destination.failed_before_restart >= max(
                     EJECT_STREAK, RESTART_FAILED_SHARE * destination.received
-                )  # so that it gets one call first
+                )
             destination.failed_before_restart = 0
         self._slot_load += (self._last_slot_load - self._slot_load) * min(
             1.0, (now - self._last_turn_at) / SLOT_LOAD_MS
@@ -562,6 +561,7 @@
         )
 
     def _transmit(self, now: float, document: Document, endpoint: EndpointState) -> None:
+        """Transmits a document, in a call of this turn that it may join or in a new one."""
         destination = document.destination
         destination.next_endpoint = endpoint.number + 1
         (self._retries if document.retries else self._first_tries).add(now)
@@ -574,7 +574,7 @@
             self._called.append(endpoint)
         endpoint.open_call.pending += 1
         document.call = endpoint.open_call
-        document.sent = document.sent + 1
+        document.sent += 1
         self._host.transmit(
             document.id, endpoint.name, min(self._timeout_ms(endpoint, document), document.expiry - now)
         )
@@ -587,8 +587,8 @@
                 self._host.close_idle(endpoint.name)
                 endpoint.idle_since.clear()
             idle_ms = now - endpoint.idle_since.pop() if endpoint.idle_since else 0.0
-        self._in_flight = self._in_flight + 1
-        destination.in_flight = destination.in_flight + 1
+        self._in_flight += 1
+        destination.in_flight += 1
         endpoint.in_flight.append(now)
         endpoint.probes_in_flight += endpoint.ejected
         for bucket in (endpoint.route.pacer, endpoint.route.warm_up)[
@@ -599,8 +599,8 @@
 
     def _end_call(self, now: float, destination: Destination, call: Call, kind: str, reusable: bool) -> None:
         """Returns a call's slot and connection, and records whether the idle time before it was too long."""
-        self._in_flight = self._in_flight - 1
-        destination.in_flight = destination.in_flight - 1
+        self._in_flight -= 1
+        destination.in_flight -= 1
         call.endpoint.in_flight.remove(call.sent_at)
         call.endpoint.probes_in_flight -= call.probe
         if kind == interface.TIMEOUT:  # endpoint or idle connection: the next new connection shows which
@@ -648,10 +648,8 @@
         if self._in_flight >= self._settings.slots:  # the next outcome brings a turn
             return
         best = {}
-        self._degraded_calls = (
-            -1,
-            0,
-        )  # calls in flight at the last count, and how many were to degraded routes
+        # calls in flight at the last count, and how many of them were to degraded routes
+        self._degraded_calls = (-1, 0)
         self._retries_capped = (
             self._retries.rate(now) > self._first_tries.rate(now) * RETRY_RATIO + SPARE_RETRIES_PER_S
         )
@@ -699,9 +697,8 @@
                     or endpoint.recent_failures.value(now) > FAILURES_TO_HOLD_BINDING
                 )
                 if doubtful and document.type.effect == BINDING:
-                    self._wake(
-                        now, now + FAILURE_HALF_LIFE_MS
-                    )  # the count of failures decays without an event
+                    # the count of failures decays without an event
+                    self._wake(now, now + FAILURE_HALF_LIFE_MS)
                 elif not self._forbidden(now, document, endpoint):
                     found = rank, document, endpoint
                     break
@@ -780,9 +777,8 @@
             each.ejected or each.returned_at is not None for each in route.endpoints if each.state == READY
         ]
         rate = max(destination.route_rate(now), route.limit / self._settings.senders) * WARM_UP_RATE_FACTOR
-        if (
-            self._settings.notes
-        ):  # all learn of it at one time: what waits is spread over the outage's duration
+        if self._settings.notes:
+            # all senders learn of it at one time: waiting documents are spread over the outage's duration
             rate = (
                 max(
                     rate,
@@ -899,23 +895,23 @@
             route.limit = outcome.limit
             route.headroom = outcome.headroom or 0.0
             route.headroom_at = now
-            if (
-                destination.restored_documents and route.equal_share > 1e9
-            ):  # no burst of senders restarted together
+            if destination.restored_documents and route.equal_share > 1e9:
+                # senders that restart together with queues must not cause a burst
                 route.share = min(1.0, max(1.0 / self._settings.senders, usual / outcome.limit) / 2.0)
             route.equal_share = outcome.limit / self._settings.senders
-        little = kind == FULL or outcome.limit and route.headroom < CUT_HEADROOM
+        low_headroom = kind == FULL or outcome.limit and route.headroom < CUT_HEADROOM
         if kind == FULL and not route.limit:
             route.limit = max(route.served.rate(now), route.served.rate(now, 2), MIN_PACE)
-        own = max(1.0 / self._settings.senders, usual / max(route.limit, MIN_PACE))
+        own_part = max(1.0 / self._settings.senders, usual / max(route.limit, MIN_PACE))
         route.refusals = 0 if kind == OK else route.refusals + (kind == FULL)
-        rare = route.refusals > 1 and usual * EJECT_STREAK < 2.0  # nothing served, and too few calls to tell
-        own = min(1.0, own * (REFUSED_PART_FACTOR if rare else OWN_PART_FACTOR))
-        if little:
-            route.cut_share(now, own, 0.5 / self._settings.senders)
+        # nothing is served, and calls are too few to tell
+        inconclusive = route.refusals > 1 and usual * EJECT_STREAK < 2.0
+        own_part = min(1.0, own_part * (REFUSED_PART_FACTOR if inconclusive else OWN_PART_FACTOR))
+        if low_headroom:
+            route.cut_share(now, own_part, 0.5 / self._settings.senders)
         elif kind == OK:
-            route.grow_share(now, own, 1.0 if outcome.limit else MAX_GUESSED_SHARE)
-        quick = kind == CONNECT_FAILED and outcome.elapsed_ms < PROBE_INTERVAL_MS
+            route.grow_share(now, own_part, 1.0 if outcome.limit else MAX_GUESSED_SHARE)
+        denied_at_once = kind == CONNECT_FAILED and outcome.elapsed_ms < PROBE_INTERVAL_MS
         if kind == OK:
             self._record_success(now, destination, call, outcome.elapsed_ms)
             return
@@ -923,33 +919,35 @@
         if kind in (interface.RESET, interface.TIMEOUT) and self._idle_resets.flagged(now, call.idle_ms):
             return  # lost with a stale connection: no evidence about the endpoint
         if kind == CONNECT_FAILED:  # a full connection table denies at once, a silent machine times out
-            if quick and not call.idle_ms:
+            if denied_at_once and not call.idle_ms:
                 self._send_note(now, endpoint, NOTE_NO_CONNECTIONS)
                 self._keep_none_idle(now, endpoint)
-            if (
-                endpoint.in_flight and endpoint.served_at >= call.sent_at
-            ):  # others are served: its table is full
+            if endpoint.in_flight and endpoint.served_at >= call.sent_at:
+                # other calls are served: its connection table is full
                 return
         if kind == FULL:
-            route.pacer.tokens = self._draw(-0.5, 0.5) if rare else 0.0  # the next call waits a full interval
+            # the next call waits a full interval
+            route.pacer.tokens = self._draw(-0.5, 0.5) if inconclusive else 0.0
         endpoint.streak_began_at = endpoint.streak_began_at if endpoint.failure_streak else now
-        endpoint.failure_streak = endpoint.failure_streak + 1
+        endpoint.failure_streak += 1
         endpoint.last_failed_at = now
         if not call.probe and call.sent_at >= max(each.served_at for each in route.endpoints):
             route.run_began_at = route.run_began_at if route.failure_run else call.sent_at
-            route.failure_run = route.failure_run + 1
-        brief = BRIEF_FAILURES * (
+            route.failure_run += 1
+        extra_failures = BRIEF_FAILURES * (
             outcome.elapsed_ms < PROBE_INTERVAL_MS
             and kind in (interface.ERROR, interface.RESET, CONNECT_FAILED)
         )
-        endpoint.failure_rate += (0.1 if brief else 0.2) * (1.0 - endpoint.failure_rate)
+        endpoint.failure_rate += (0.1 if extra_failures else 0.2) * (1.0 - endpoint.failure_rate)
         endpoint.doubt_rate += 0.2 * ((kind not in NEVER_RAN) - endpoint.doubt_rate)
-        enough = (
+        streak_needed = (
             EJECT_STREAK
-            if quick or self._settings.notes
+            if denied_at_once or self._settings.notes
             else max(1, min(EJECT_STREAK, int(usual * EJECT_STREAK)))
         )
-        enough = brief + (1 if any(each.ejected for each in route.endpoints) else enough)
+        streak_needed = extra_failures + (
+            1 if any(each.ejected for each in route.endpoints) else streak_needed
+        )
         if kind != FULL:
             if self._signals_available:
                 self._host.observed(endpoint.name, interface.SignalKind.FAILED, 0.0)
@@ -962,12 +960,12 @@
             self._schedule_probe(now, destination, route, route.probe_interval_ms * 2.0)
             return
         failing = (
-            endpoint.failure_streak >= enough
+            endpoint.failure_streak >= streak_needed
             or endpoint.failure_rate > EJECT_FAILURE_RATE
-            or route.failure_run - route.refusals >= EJECT_STREAK + brief
+            or route.failure_run - route.refusals >= EJECT_STREAK + extra_failures
         )
         shut = (
-            endpoint.failure_streak >= max(EJECT_STREAK, 2 * enough)
+            endpoint.failure_streak >= max(EJECT_STREAK, 2 * streak_needed)
             and now - endpoint.streak_began_at >= SHUT_MS
         )
         # refusals eject only if they last, as short ones belong to a limit
@@ -1008,34 +1006,32 @@
         route.probe_interval_ms = min(MAX_PROBE_INTERVAL_MS, interval_ms)
         usual = destination.route_rate(now)
         start = max(now, route.wait_until, route.peer_wait_until)
-        rare_ms = PROBE_SPACING / usual
-        least = 0.3
+        spacing_ms = PROBE_SPACING / usual
+        jitter_low = 0.3
         if self._settings.notes:  # all hear the result: senders that hold documents take turns
-            held = (
+            holders = (
                 min(1.0, usual * (start - route.ejected_at + NOTE_INTERVAL_MS) / 1000.0)
                 * self._settings.senders
             )
-            rare_ms = (
-                held
+            spacing_ms = (
+                holders
                 * 1000.0
                 / max(MIN_FLEET_PROBES_PER_S, PROBE_TRAFFIC_SHARE * usual * self._settings.senders)
             )
-            least = 0.0
+            jitter_low = 0.0
         # no more often than the sender usually calls it
-        pause_ms = rare_ms if rare_ms > MAX_PROBE_INTERVAL_MS else route.probe_interval_ms
-        if (
-            spread or start > now
-        ) and not self._settings.notes:  # many senders: paced as a warm-up's first calls
-            alone = (
-                0.0 if self._signals_available else 1000.0 / self._settings.warm_up_ms
-            )  # without signals few senders know of it
-            pause_ms = 500.0 / max(usual * self._settings.cold_share, alone)
-            least = 0.0
+        pause_ms = spacing_ms if spacing_ms > MAX_PROBE_INTERVAL_MS else route.probe_interval_ms
+        if (spread or start > now) and not self._settings.notes:
+            # many senders probe at one time: paced like the first calls of a warm-up
+            # without signals only few senders know of the outage, so a minimum rate applies
+            min_rate = 0.0 if self._signals_available else 1000.0 / self._settings.warm_up_ms
+            pause_ms = 500.0 / max(usual * self._settings.cold_share, min_rate)
+            jitter_low = 0.0
         elif route.shared_probing:  # all senders together probe as often as one would, also as documents come
             pause_ms = route.probe_interval_ms
-            each = max(MIN_FLEET_PROBES_PER_S / self._settings.senders, PROBE_TRAFFIC_SHARE * usual)
-            start += max(0.0, self._draw(0.0, 1.0) - each / usual) * 2000.0 / each
-        route.next_probe_at = start + pause_ms * self._draw(least, 2.0 - least)
+            probe_rate = max(MIN_FLEET_PROBES_PER_S / self._settings.senders, PROBE_TRAFFIC_SHARE * usual)
+            start += max(0.0, self._draw(0.0, 1.0) - probe_rate / usual) * 2000.0 / probe_rate
+        route.next_probe_at = start + pause_ms * self._draw(jitter_low, 2.0 - jitter_low)
 
     # Notes and reports of other senders: weaker evidence than an outcome, and it ages
 
@@ -1050,34 +1046,35 @@
             return
         if not self._note_bucket.wait_ms(now, FLEET_NOTES_PER_S / self._settings.senders, NOTE_BURST):
             endpoint.next_note_at = now + NOTE_INTERVAL_MS
-            self._note_bucket.tokens = self._note_bucket.tokens - 1.0
+            self._note_bucket.tokens -= 1.0
             self._host.broadcast(f"{endpoint_tag(endpoint.name)}{note}")
 
     def note_received(self, now: float, note: str) -> None:
         """Handles a note from another sender; malformed notes and those of unknown endpoints are ignored."""
         endpoint = self._endpoints_by_tag.get(note[:ENDPOINT_TAG_LENGTH])
-        what = note[ENDPOINT_TAG_LENGTH : ENDPOINT_TAG_LENGTH + 1]
-        ms = note[ENDPOINT_TAG_LENGTH + 1 :]
-        if (
-            endpoint is None or now > self._alarm + STALL_MS
-        ):  # it may have waited while this process was stalled
+        code = note[ENDPOINT_TAG_LENGTH : ENDPOINT_TAG_LENGTH + 1]
+        wait_text = note[ENDPOINT_TAG_LENGTH + 1 :]
+        # a note may have waited while this process was stalled
+        if endpoint is None or now > self._alarm + STALL_MS:
             return
         route = endpoint.route
         destination = endpoint.route.destination
-        if what == NOTE_SERVES:
+        if code == NOTE_SERVES:
             endpoint.recent_failures.value(now, -1.0)
-        elif what == NOTE_FAILED:
+        elif code == NOTE_FAILED:
             self._count_failure(now, endpoint, "told")
-        elif what == NOTE_WAIT and ms.isdecimal() and not endpoint.ejected:
-            shut = float(ms) > LONG_WAIT_MS
+        elif code == NOTE_WAIT and wait_text.isdecimal() and not endpoint.ejected:
+            shut = float(wait_text) > LONG_WAIT_MS
             part = 1.0 if shut else self._draw(0.0, 1.0)  # a limit: all at once would meet it again
-            route.peer_wait_until = max(route.peer_wait_until, now + min(float(ms), MAX_PEER_WAIT_MS) * part)
+            route.peer_wait_until = max(
+                route.peer_wait_until, now + min(float(wait_text), MAX_PEER_WAIT_MS) * part
+            )
             if shut:
                 endpoint.streak_began_at = now
                 self._eject(now, destination, route, endpoint, FULL)
-        elif what == NOTE_NO_CONNECTIONS:
+        elif code == NOTE_NO_CONNECTIONS:
             self._keep_none_idle(now, endpoint)
-        elif what == NOTE_RETURNED and endpoint.ejected:
+        elif code == NOTE_RETURNED and endpoint.ejected:
             self._changed = True
             self._return_to_service(now, destination, route, endpoint)
 
@@ -1175,8 +1172,8 @@
             self._host.observed(endpoint.name, interface.SignalKind.SERVED, 0.0)
         endpoint.failure_streak = 0
         endpoint.served_at = now
-        endpoint.failure_rate = endpoint.failure_rate * 0.8
-        endpoint.doubt_rate = endpoint.doubt_rate * 0.8
+        endpoint.failure_rate *= 0.8
+        endpoint.doubt_rate *= 0.8
         endpoint.recent_ms += (elapsed_ms - endpoint.recent_ms) * (0.3 if endpoint.recent_ms else 1.0)
         endpoint.usual_ms += (elapsed_ms - endpoint.usual_ms) * (0.02 if endpoint.usual_ms > 0 else 1.0)
         if endpoint.recent_failures.value(now) > 0.5 and not returned:
@@ -1215,12 +1212,17 @@
         )
 
     def _timeout_ms(self, endpoint: EndpointState, document: Document) -> float:
-        """Returns a call's time-out: a multiple of the usual answer time, longer for binding documents."""
-        seen = max(endpoint.usual_ms, endpoint.recent_ms)
+        """Returns a call's time-out: a multiple of the usual answer time, longer for binding documents.
+
+        The agreed time of the document type applies until an answer was answer_ms.
+        """
+        answer_ms = max(endpoint.usual_ms, endpoint.recent_ms)
         # with notes, senders tell each other of silent endpoints, so that time-outs need not be short
         scarce = self._in_flight >= self._settings.slots * SCARCE_SLOTS_SHARE and not self._settings.notes
         timeout_ms = (
-            (SCARCE_TIMEOUT_FACTOR if scarce else TIMEOUT_FACTOR) * seen if seen else document.type.agreed_ms
+            (SCARCE_TIMEOUT_FACTOR if scarce else TIMEOUT_FACTOR) * answer_ms
+            if answer_ms
+            else document.type.agreed_ms
         )
         least = MIN_TIMEOUT_MS * (
             1.0 if self._settings.notes else max(MIN_TIMEOUT_PART_WHEN_BUSY, 1.0 - self._slot_load)
