--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -16,20 +16,20 @@
         story.sender.turn(story.now)
 
 
-def noting(**settings):
+def with_notes(**settings):
     """Returns a story of a sender that exchanges notes in a fleet of 200."""
     return Story(**{"notes": True, "senders": 200, **settings})
 
 
 def test_with_few_documents_one_time_out_is_noted_and_does_not_eject_the_endpoint():
-    story = noting()  # guards against 1% of calls timing out and each ejecting an endpoint for a minute
+    story = with_notes()  # guards against 1% of calls timing out and each ejecting an endpoint for a minute
     story.take("d")
     story.ends("d", interface.TIMEOUT, 2000.0)
     assert story.told == [TAG + "f"] and not story.logs
 
 
-def test_failures_noted_by_three_senders_eject_an_endpoint_and_held_documents_are_probes_in_turn():
-    story = noting()
+def test_failures_noted_by_three_senders_eject_an_endpoint_and_it_is_probed_one_document_at_a_time():
+    story = with_notes()
     receive(story, *[TAG + "f"] * 3)
     assert "ill" in story.logs[0]
     for number in range(5):
@@ -40,7 +40,7 @@
 
 
 def test_noted_failures_decay_and_are_offset_by_noted_successes():
-    story = noting()
+    story = with_notes()
     receive(story, *[TAG + "f"] * 5, each_ms=2000.0)
     story.at(story.now + 5000.0)
     receive(story, *[TAG + "f", TAG + "s"] * 6)
@@ -50,7 +50,7 @@
 
 
 def test_a_served_call_after_noted_failures_is_noted():
-    story = noting()
+    story = with_notes()
     story.take("d")
     receive(story, TAG + "f")
     story.ends("d", interface.OK, 50.0)
@@ -58,20 +58,20 @@
 
 
 def test_binding_documents_wait_until_noted_failures_decay():
-    story = noting()
+    story = with_notes()
     receive(story, TAG + "f", TAG + "f")
     story.take("pay", "pay")
     assert not story.calls
     story.at(3000.0)  # without an event other than its own alarm
     assert story.tries("pay") == 1
-    other = noting()
+    other = with_notes()
     receive(other, TAG + "f", TAG + "f")
     other.take("sync")
     assert other.tries("sync") == 1
 
 
 def test_a_noted_return_ends_the_ejection_and_held_documents_are_sent_slowly():
-    story = noting()
+    story = with_notes()
     receive(story, *[TAG + "f"] * 3)
     for number in range(8):
         story.take(f"d{number}")
@@ -83,7 +83,7 @@
 
 
 def test_a_served_call_that_was_sent_before_the_ejection_is_no_return():
-    story = noting()  # regression: it was noted as a return, and all senders sent at once
+    story = with_notes()  # regression: it was noted as a return, and all senders sent at once
     story.take("d")
     receive(story, f"{TAG}w15000")
     story.ends("d", interface.OK, 100.0)
@@ -94,12 +94,12 @@
 
 
 def test_a_long_wait_in_a_note_holds_all_endpoints_of_the_route_and_is_bounded():
-    story = noting(endpoints=("a", "b"))
+    story = with_notes(endpoints=("a", "b"))
     receive(story, f"{TAG}w{10**9}")
     story.take("d", left=20000.0)
     story.at(19000.0)
     assert not story.calls
-    later = noting()
+    later = with_notes()
     receive(later, f"{TAG}w{10**9}")
     later.at(100000.0)
     later.take("d")
@@ -107,7 +107,7 @@
 
 
 def test_a_short_wait_in_a_note_holds_documents_for_a_part_of_it():
-    story = noting()
+    story = with_notes()
     receive(story, f"{TAG}w1000")
     story.take("d")
     assert not story.calls
@@ -119,14 +119,14 @@
     "note", ["", "f", "zzzzzzf", TAG, TAG + "?", TAG + "w", TAG + "w-5", TAG + "wx", TAG + "w1e9", "\0" * 256]
 )
 def test_a_malformed_note_is_ignored(note):
-    story = noting()
+    story = with_notes()
     receive(story, *[note] * 5)
     story.take("d")
     assert story.calls and not story.logs
 
 
 def test_notes_that_waited_while_the_process_was_stalled_are_ignored():
-    story = noting(endpoints=())
+    story = with_notes(endpoints=())
     story.take("d", left=5000.0)  # an alarm is set
     story.listed(["a"], interface.CHANGES)
     story.ends("d", interface.FULL, 10.0, wait_ms=500.0)
@@ -139,7 +139,7 @@
 
 def test_the_rate_of_notes_is_limited():
     names = [f"e{number}" for number in range(30)]
-    story = noting(endpoints=(), slots=200)
+    story = with_notes(endpoints=(), slots=200)
     for number, name in enumerate(names):
         story.listed([name], interface.CHANGES, destination=number + 2)
         story.take(f"d{number}", destination=number + 2)
@@ -156,7 +156,7 @@
 
 
 def test_idle_connections_to_a_kind_are_closed_after_a_note_of_a_denied_connection():
-    story = noting(endpoints=("a", "b"))
+    story = with_notes(endpoints=("a", "b"))
     for doc in ("d", "e"):
         story.take(doc)
         story.ends(doc, interface.OK, 50.0)
