--- a/birchstack/decide.py
+++ b/birchstack/decide.py
@@ -110,7 +110,7 @@
 # Content and effect of notes between senders
 NOTE_INTERVAL_MS = 500.0  # least time between two notes about one endpoint
 FAILURE_HALF_LIFE_MS = 1000.0  # half-life of the count of recent failures
-NO_IDLE_MS = 60000.0  # no connections stay idle for this long after one was denied
+NO_IDLE_MS = 60000.0  # no connections to a kind are kept idle for this long after one was denied
 FAILURES_TO_EJECT = 2.2  # recent failures that eject an endpoint
 FAILURES_TO_HOLD_BINDING = 1.5  # recent failures above which binding documents wait
 MIN_FLEET_PROBES_PER_S = 2.0  # least probes per second of all senders together
--- a/birchstack/interface.py
+++ b/birchstack/interface.py
@@ -134,7 +134,7 @@
     """An observation of an endpoint that a sender shares with the others; lower numbers are sent first."""
 
     WAIT = 1  # the endpoint asked for a wait
-    SERVED = 2  # a call was served after failures that this sender saw or was told of
+    SERVED = 2  # a call was served after failures that this sender saw or that were reported to it
     FAILED = 3  # a call failed, other than by a refusal for load
 
 
--- a/birchstack/state.py
+++ b/birchstack/state.py
@@ -162,7 +162,7 @@
         self.finished = False
         self.key_queue = None
         self.delivery = None  # the generator that runs its delivery
-        self.retry_after_ms = float("inf")  # bound on the retry time told to the client, if it is rejected
+        self.retry_after_ms = float("inf")  # bound on the retry time given to the client, if it is rejected
         self.value_factor = 1.0  # share of its type's value; less beyond its tenant's quota
 
     def evictable(self) -> bool:
