--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -3,9 +3,10 @@
 Owns the order of writes to the store and the ledger, and when the store is read. Each document is in one of
 the two, except for a moment: one that leaves the store is written to the ledger first, then removed from the
 store, and only then submitted to the decision logic; at a start, the store drops what the ledger has. Never
-decides which document waits on disk, is read back or is refused: the decision logic is asked (Sender.room,
-Sender.back_ms), and a document that expires on disk is submitted to it, and ends like any other. The one
-implementation of a store is birchstack.backlog, enabled by BALANCER_BACKLOG.
+decides which document waits on disk, is read back or is refused: the decision logic is asked
+(Sender.documents_wanted, Sender.overflow_retry_after_ms), and a document that expires on disk is submitted to
+it, and ends like any other. The one implementation of a store is birchstack.backlog, enabled by
+BALANCER_BACKLOG.
 """
 
 from __future__ import annotations
@@ -163,10 +164,12 @@
         destination = request.destination
         size = len(request.body)
         ahead = self._store.waiting(destination)[0] + self._pending_counts.get(destination, 0)
-        room = self._core.room(destination, self._window, len(self._stored), ahead)
+        room = self._core.documents_wanted(destination, self._window, len(self._stored), ahead)
         if not ahead and room > 0 and self._ledger.fits([size]):
             return None
-        if back_ms := self._core.back_ms(now, destination, request.remaining_ms - age_ms, ahead):
+        if back_ms := self._core.overflow_retry_after_ms(
+            now, destination, request.remaining_ms - age_ms, ahead
+        ):
             return REJECTED, back_ms
         if not self._store.fits([size, *(len(each.body) for each in self._pending.values())]):
             return UNAVAILABLE, advice_ms
@@ -259,7 +262,7 @@
 
     def _room(self, destination: int) -> int:
         waiting = self._store.waiting(destination)[0]
-        return self._core.room(destination, self._window, len(self._stored), waiting)
+        return self._core.documents_wanted(destination, self._window, len(self._stored), waiting)
 
     def _read(self, now: float, destination: int) -> int:
         """Moves and submits as many documents of a destination as there is room for; returns how many."""
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -100,7 +100,7 @@
         node._turn()
         node._turn()
         assert request.replies == [(UNAVAILABLE, 3000.0)] and not node._core._held and not len(node._calls)
-        assert node._core._out == 0
+        assert node._core._in_flight == 0
 
     node.run(story)
 
@@ -135,7 +135,7 @@
                 node._ledger.done(node._ledger.owed[request.id])
         node._turn()
         assert len(node._answers) <= 4096 and not node._ledger.owed and not node._core._held
-        assert len(node._core._ends) < 5000 and not node._pending and not node._starting
+        assert len(node._core._last_starts) < 5000 and not node._pending and not node._starting
 
     node.run(story)
 
