--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -13,13 +13,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
 from birchstack.net.log import holds, say
 
 PATH = "/hook"
-REUSABLE_OUTCOMES = (our.OK, our.ERROR, our.FULL)  # after these a connection may stay idle for the next call
+# After these a connection may stay idle for the next call
+REUSABLE_OUTCOMES = (interface.OK, interface.ERROR, interface.FULL)
 DECIMAL = r"[0-9]{1,9}(?:\.[0-9]{0,18})?"
 LOAD_REPORT = re.compile(rf"(?:TEXT )?x0=({DECIMAL}), ?x1=({DECIMAL})")
 RESPONSE_REST_MS = 500.0  # a response must be complete this long after its status line, or it is malformed
@@ -32,16 +33,16 @@
 def classify_response(answer: http1.Response) -> tuple[str, bool, float]:
     """Maps a response to its outcome: kind, whether the document has ended, and the requested wait in ms."""
     if answer.status == 200:
-        return our.OK, True, 0.0
+        return interface.OK, True, 0.0
     if answer.status == 429:
         wait = answer.fields.get("x-come-back-ms", "")
-        return our.FULL, False, float(wait) if re.fullmatch(DECIMAL, wait) else 0.0
+        return interface.FULL, False, float(wait) if re.fullmatch(DECIMAL, wait) else 0.0
     if answer.status == 503:
         busy = answer.fields.get("x-line-busy", "").strip() == "1"
-        return our.UNSENT if busy else our.FULL, False, 0.0
+        return interface.UNSENT if busy else interface.FULL, False, 0.0
     if answer.status in (504, 410):
-        return our.UNSENT, answer.status == 410, 0.0
-    return our.ERROR, False, 0.0
+        return interface.UNSENT, answer.status == 410, 0.0
+    return interface.ERROR, False, 0.0
 
 
 def parse_load_report(answer: http1.Response) -> tuple[float | None, float | None]:
@@ -233,19 +234,19 @@
         if answer:
             room, limit = parse_load_report(answer)
         if self._reader.status == 200:  # the status line is enough, whatever follows it
-            kind, over = our.OK, True
+            kind, over = interface.OK, True
             if not self._status_received:
                 self._calls.on_delivered(call)
         elif answer and complete:  # any other response proves nothing unless it is complete
             kind, over, wait_ms = classify_response(answer)
         elif cancelled:
-            kind = our.UNSENT
+            kind = interface.UNSENT
         elif not self._written or self._link is None or self._link.unsent:
-            kind = our.CONNECT_FAILED
+            kind = interface.CONNECT_FAILED
         elif malformed:
-            kind = our.ERROR
+            kind = interface.ERROR
         else:
-            kind = our.TIMEOUT if timed_out else our.RESET
+            kind = interface.TIMEOUT if timed_out else interface.RESET
         self._calls.call_ended(
             self, call, keep and kind in REUSABLE_OUTCOMES, (kind, over, wait_ms, room, limit)
         )
@@ -377,7 +378,7 @@
             connection.close()  # before the outcome is reported: one transmission of a document at a time
         kind, *rest = result
         elapsed_ms = self.elapsed_since(call.started)
-        self._on_end(call, our.Outcome(kind, call.attempt, elapsed_ms, *rest, kept))
+        self._on_end(call, interface.Outcome(kind, call.attempt, elapsed_ms, *rest, kept))
 
     def discard(self, connection: EndpointConnection) -> None:
         """Removes an idle connection from the pool, and closes it."""
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -12,7 +12,7 @@
 import logging
 from collections.abc import Iterable
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.decide import NEVER_RAN, Sender
 from birchstack.net.audit import AuditLogFactory, SenderStatus
 from birchstack.net.by_hand import ByHand
@@ -175,7 +175,7 @@
             self._ledger.begin_recoveries_anew(self._lasting.ms())
         return Recollection(self._ledger, self._by_hand)
 
-    def _recall(self, listed: Iterable[our.Endpoint]) -> None:
+    def _recall(self, listed: Iterable[interface.Endpoint]) -> None:
         """Reports known recoveries and waits of endpoints, after the list with them and before documents."""
         for recalled in self._recollection.of(self._lasting.ms(), listed):
             if recalled.recovery:
@@ -192,9 +192,9 @@
             self._end_with_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
             return
         doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
-        history = our.History(owed.sent, owed.failed, doubt) if owed.found else our.NO_HISTORY
+        history = interface.History(owed.sent, owed.failed, doubt) if owed.found else interface.NO_HISTORY
         remaining_ms = owed.due - now
-        submission = our.Submission(
+        submission = interface.Submission(
             owed.id, owed.destination, owed.type, remaining_ms, owed.key, history, tenant
         )
         self._core.document(now, submission)
@@ -262,7 +262,7 @@
             self._enqueue(self._core.endpoints, mode, [self._by_hand.as_told(entry) for entry, _ in listed])
             self._recall(entry for entry, _ in listed)
             return
-        if mode != our.CHANGES:  # a whole list replaces what was deferred until this process sends
+        if mode != interface.CHANGES:  # a whole list replaces what was deferred until this process sends
             self._deferred_lists.clear()
         self._deferred_lists.append((mode, [entry for entry, _ in listed]))
 
@@ -281,7 +281,7 @@
                 self._ledger.notice(owed, "dead", 0.0)
                 self._notices.tell(owed.id, "dead", 0.0)
 
-    def _on_call_end(self, call: Call, outcome: our.Outcome) -> None:
+    def _on_call_end(self, call: Call, outcome: interface.Outcome) -> None:
         if outcome.wait_ms > 0.0:
             self._ledger.told(call.endpoint, self._lasting.ms() + outcome.wait_ms)
         owed = self._ledger.owed.get(call.doc_id)
@@ -289,7 +289,7 @@
             if outcome.final:
                 self._ledger.done(owed)
             else:
-                failed = outcome.kind not in (our.FULL, our.UNSENT)
+                failed = outcome.kind not in (interface.FULL, interface.UNSENT)
                 self._ledger.back(owed, outcome.kind not in NEVER_RAN, failed)
         self._ledger.freed(call.destination)
         self._enqueue(self._core.outcome, call.doc_id, call.endpoint, outcome)
@@ -370,7 +370,7 @@
         else:
             request.remaining_ms -= age
             self._pending[request.id] = request
-            submission = our.Submission(
+            submission = interface.Submission(
                 request.id,
                 request.destination,
                 request.type,
@@ -468,7 +468,7 @@
 
     def _cancel_call(self, call: Call | None) -> None:
         if call:
-            self._on_call_end(call, our.Outcome(our.UNSENT, call.attempt, 0.0, False))
+            self._on_call_end(call, interface.Outcome(interface.UNSENT, call.attempt, 0.0, False))
 
     def _log_state(self) -> None:
         """Logs the sender's state at regular intervals, for operators."""
@@ -542,11 +542,11 @@
     def broadcast(self, note: str) -> None:
         """Does nothing: the configuration refuses notes, which this sender cannot pass to others."""
 
-    def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
+    def observed(self, endpoint: str, kind: interface.SignalKind, wait_ms: float) -> None:
         """Passes an observation of an endpoint on to the other senders."""
         self._audit.observed(endpoint, kind, wait_ms)
 
-    def save_recovery(self, recovery: our.Recovery) -> None:
+    def save_recovery(self, recovery: interface.Recovery) -> None:
         """Records an endpoint's recovery for the process after this one."""
         self._ledger.remember(self._lasting.ms(), recovery)
 
@@ -556,7 +556,7 @@
 
     # Signals of other senders
 
-    def _on_signals(self, reports: list[our.Report]) -> None:
+    def _on_signals(self, reports: list[interface.Report]) -> None:
         if not self._holds_lock:  # another process decides
             return
         self._update_signals()
@@ -608,7 +608,7 @@
         entry = self._list.entries.get(endpoint)
         answer = self._by_hand.set(endpoint, out, entry is not None)
         if answer.yes and entry and self._holds_lock:
-            self._enqueue(self._core.endpoints, our.CHANGES, [self._by_hand.as_told(entry)])
+            self._enqueue(self._core.endpoints, interface.CHANGES, [self._by_hand.as_told(entry)])
         return answer
 
     def _drain(self, drained: bool) -> Answer:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -14,7 +14,7 @@
 from fake import OK_200, answer, play, post, read_message
 from test_crossings import InProcessWorld, client_server, until  # noqa: F401
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.net import driver
 from birchstack.net.calls import Call, Calls
 
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("act", ENDPOINT_ACTIONS)
-@pytest.mark.parametrize("how, kind", [("dialled", our.CONNECT_FAILED), ("idle", our.UNSENT)])
+@pytest.mark.parametrize("how, kind", [("dialled", interface.CONNECT_FAILED), ("idle", interface.UNSENT)])
 def test_a_call_is_not_written_once_its_endpoint_has_sent_bytes_or_closed(how, kind, act):
     async def whole():
         async with PausedCall() as paused:
@@ -135,7 +135,7 @@
             while not connection.stale():
                 pass
             paused.calls.write_or_cancel(paused.call, True)
-            assert paused.ends == [our.CONNECT_FAILED] and paused.calls.transmitted == written
+            assert paused.ends == [interface.CONNECT_FAILED] and paused.calls.transmitted == written
             await asyncio.sleep(0.02)
             assert len(paused.ends) == 1
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 import pytest
 from fake import OK_200, Shut, World, answer, play, post, read_message
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.net import discovery, sender
 from birchstack.net.calls import Call, Calls
 from birchstack.net.config import decode
@@ -142,7 +142,7 @@
 
     async def story(watch, heard, asked):
         await until(lambda: len(heard) == text.count(b"rev"))
-        assert {(mode, listed[0][0].name) for mode, listed in heard} == {(our.WHOLE, "s-{")}
+        assert {(mode, listed[0][0].name) for mode, listed in heard} == {(interface.WHOLE, "s-{")}
         assert len(asked) == 1
 
     run_watch(story, respond)
@@ -301,7 +301,7 @@
             connection._timed_out()
             await until(lambda: ends)
             endpoint.close()
-        assert ends == [our.FULL]  # a refusal, not a time-out, which would leave it in doubt
+        assert ends == [interface.FULL]  # a refusal, not a time-out, which would leave it in doubt
         calls.close()
 
     asyncio.run(whole())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -7,7 +7,7 @@
 import pytest
 from fake import config
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.net import sender as module
 from birchstack.net.config import decode
 from birchstack.net.front import ACCEPTED, UNAVAILABLE
@@ -106,16 +106,16 @@
 
 
 def listed(name, state, port, destination=1):
-    return our.Endpoint(name, destination, "a", 0, state, 0.0), ("127.0.0.1", port)
+    return interface.Endpoint(name, destination, "a", 0, state, 0.0), ("127.0.0.1", port)
 
 
-@pytest.mark.parametrize("mode", [our.CHANGES, our.WHOLE])
+@pytest.mark.parametrize("mode", [interface.CHANGES, interface.WHOLE])
 def test_endpoints_that_left_the_list_leave_nothing_in_memory(node, mode):
     async def story():
         for number in range(6000):
-            if mode == our.CHANGES and number:
-                node._on_list(mode, [listed(f"e{number - 1}", our.GONE, 9, number - 1)])
-            node._on_list(mode, [listed(f"e{number}", our.READY, 9, number)])
+            if mode == interface.CHANGES and number:
+                node._on_list(mode, [listed(f"e{number - 1}", interface.GONE, 9, number - 1)])
+            node._on_list(mode, [listed(f"e{number}", interface.READY, 9, number)])
             node._turn()
         assert [*node._calls.addresses] == [*node._list.entries] == [*node._core._endpoints] == ["e5999"]
         assert len(node._list._destinations) <= 4096 and len(node._core._destinations) < 100
@@ -155,14 +155,16 @@
 @pytest.mark.parametrize("window, written", [(1000.0, False), (9000.0, True)])
 def test_a_window_that_ends_during_a_long_turn_prevents_the_call_decided_in_it(node, window, written):
     async def story():
-        kind = our.DocumentType("order", our.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False)
+        kind = interface.DocumentType(
+            "order", interface.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False
+        )
         node._core.reconfigure(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
         node._client_server.types["order"], wall = 20000.0, node._lasting.ms()
         owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
         node._ledger.call(owed, "a", wall - 700.0)  # in flight when its process ended
         node._ledger.close()
         node._ledger = Ledger(node._folder, 3_000_000)
-        node._on_list(our.WHOLE, [listed("e1", our.READY, 9)])
+        node._on_list(interface.WHOLE, [listed("e1", interface.READY, 9)])
         node._recover(node._ledger.owed)
         turn, written_calls = node._core.turn, []
         # a long turn: many documents, a slow processor
