--- a/birchstack/cli_fleet.py
+++ b/birchstack/cli_fleet.py
@@ -1,6 +1,6 @@
-"""The commands `birchstack keeper` and `birchstack fleet ...`: their options and how answers are shown.
+"""The commands `birchstack keeper` and `birchstack fleet ...`: their options and output.
 
-Owns the words of these commands. Must never hold logic of its own: answers come from birchstack.keeper.
+Owns the texts of these commands. Must not contain logic of its own: answers come from birchstack.keeper.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 import click
 
-FINDING = 3  # status: a finding stands
+FINDING = 3  # exit status when there are findings
 
 
 @click.command()
 @click.argument("file", type=click.Path())
 def keeper(file: str) -> None:
-    """Run one keeper, as FILE tells it (docs/operators/fleet.md)."""
+    """Run one keeper (audit collector), configured by FILE (docs/operators/fleet.md)."""
     from birchstack.keeper.__main__ import main
 
     sys.exit(main(file))
@@ -30,20 +30,24 @@
     multiple=True,
     required=True,
     type=click.Path(),
-    help="A keeper's store; several are read as one.",
+    help="Path of a keeper's store; repeat the option to merge several.",
 )
-@click.option("--json", "as_json", is_flag=True, help="For programs: one JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print the answer as JSON.")
 @click.pass_context
 def fleet(context: click.Context, paths: tuple[str, ...], as_json: bool) -> None:
-    """Ask keepers' stores what the fleet did. Ends with status 3 when a finding stands."""
+    """Query keepers' stores for what the fleet did. Exits with status 3 if there are findings."""
     context.obj = Asked(paths, as_json)
 
 
 class Asked:
+    """The stores and the output format that the options of `birchstack fleet` select."""
+
     def __init__(self, paths: tuple[str, ...], as_json: bool) -> None:
-        self._paths, self._json = paths, as_json
+        self._paths = paths
+        self._json = as_json
 
     def ask(self, question, **words):
+        """Returns the result of question(stores); a query that cannot be answered ends the program."""
         from birchstack.keeper.questions import AskError, Stores
 
         try:
@@ -52,7 +56,10 @@
             raise click.ClickException(str(problem)) from problem
 
     def show(self, answer, tables: list[tuple[str, tuple[str, ...], list[tuple]]], finding: bool) -> None:
-        """tables: title, columns and rows. Ends the program."""
+        """Prints an answer as JSON or as tables, then exits with the status for finding.
+
+        tables: title, columns and rows of each.
+        """
         if self._json:
             import msgspec
 
@@ -65,58 +72,62 @@
             for title, columns, rows in tables:
                 table = Table(*columns, title=title, title_justify="left")
                 for row in rows:
-                    table.add_row(*(str(each) for each in row))
+                    table.add_row(*(str(cell) for cell in row))
                 console.print(table if rows else f"{title}: none", markup=False)
         sys.exit(FINDING if finding else 0)
 
 
 def moment(at_ms: float) -> str:
+    """Formats a time in Unix milliseconds as UTC; 0 stands for an unbounded start."""
     if not at_ms:
         return "the beginning"
     return datetime.fromtimestamp(at_ms / 1000.0, UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
 
 
 def span(ms: float) -> str:
+    """Formats a duration in seconds; a negative one is unknown."""
     return "-" if ms < 0.0 else f"{ms / 1000.0:.1f} s"
 
 
 def unknown_rows(unknown) -> tuple[str, tuple[str, ...], list[tuple]]:
+    """Returns the table of unknown periods."""
     rows = [
         (
-            each.sender,
-            f"unknown from {moment(each.from_ms)} to {moment(each.to_ms)}",
-            each.why,
-            "?" if each.calls < 0 else each.calls,
+            period.sender,
+            f"unknown from {moment(period.from_ms)} to {moment(period.to_ms)}",
+            period.why,
+            "?" if period.calls < 0 else period.calls,
         )
-        for each in unknown
+        for period in unknown
     ]
     return "not known", ("sender", "when", "why", "calls"), rows
 
 
 def call_rows(title: str, calls) -> tuple[str, tuple[str, ...], list[tuple]]:
+    """Returns the table of calls."""
     rows = [
         (
-            moment(each.at_ms),
-            each.sender,
-            each.doc,
-            each.endpoint or "(abandoned)",
-            f"{each.epoch + ':' if each.epoch else ''}{each.number}@{(each.digest or '')[:8]}",
-            span(each.past_ms) if each.past_ms else "",
+            moment(call.at_ms),
+            call.sender,
+            call.doc,
+            call.endpoint or "(abandoned)",
+            f"{call.epoch + ':' if call.epoch else ''}{call.number}@{(call.digest or '')[:8]}",
+            span(call.past_ms) if call.past_ms else "",
         )
-        for each in calls
+        for call in calls
     ]
     return title, ("began", "sender", "document", "endpoint", "list acted on", "past"), rows
 
 
-list_option = click.option("--epoch", help="Of the list, where its service tells one.")
+list_option = click.option("--epoch", help="Epoch of the list, where the list service has one.")
 
 
 @fleet.command()
 @click.pass_obj
-def status(asked: Asked) -> None:
-    """Each sender: the versions it acts on, how far it is behind, how old its picture is."""
-    rows, findings = asked.ask(lambda stores: (stores.status(), stores.findings()))
-    asked.show(
+def status(query: Asked) -> None:
+    """Show each sender: the versions it acts on, how far it is behind, and the age of its data."""
+    rows, findings = query.ask(lambda stores: (stores.status(), stores.findings()))
+    query.show(
         {"senders": rows, "findings": findings},
         [
             (
@@ -137,26 +148,26 @@
                 ),
                 [
                     (
-                        each.sender,
-                        each.at,
-                        each.list,
-                        "-" if each.behind < 0 else each.behind,
-                        span(each.behind_ms),
-                        span(each.age_ms),
-                        span(each.answered_ms),
-                        span(each.heard_ms),
-                        each.settings,
-                        each.decisions,
-                        each.held,
+                        sender.sender,
+                        sender.at,
+                        sender.list,
+                        "-" if sender.behind < 0 else sender.behind,
+                        span(sender.behind_ms),
+                        span(sender.age_ms),
+                        span(sender.answered_ms),
+                        span(sender.heard_ms),
+                        sender.settings,
+                        sender.decisions,
+                        sender.held,
                         "waiting"
-                        if not each.holds
+                        if not sender.holds
                         else "losing trail"
-                        if each.failing
+                        if sender.failing
                         else "ready"
-                        if each.ready
+                        if sender.ready
                         else "not ready",
                     )
-                    for each in rows
+                    for sender in rows
                 ],
             ),
             finding_rows(findings),
@@ -166,102 +177,101 @@
 
 
 def finding_rows(findings) -> tuple[str, tuple[str, ...], list[tuple]]:
+    """Returns the table of findings."""
     return (
         "findings",
         ("since", "what", "sender", "detail"),
-        [(moment(each.at_ms), each.kind, each.sender, each.detail) for each in findings],
+        [(moment(finding.at_ms), finding.kind, finding.sender, finding.detail) for finding in findings],
     )
 
 
 @fleet.command()
-@click.option("--list", "number", type=int, required=True, help="The list's version (rev).")
+@click.option("--list", "number", type=int, required=True, help="Version of the list (rev).")
 @list_option
-@click.option("--late", is_flag=True, help="Only calls that began when a later version was in force.")
+@click.option("--late", is_flag=True, help="Show only calls that began when a later version was in force.")
 @click.pass_obj
-def acted(asked: Asked, number: int, epoch: str | None, late: bool) -> None:
-    """Who acted on a version of the list, from when to when, and how many calls began."""
+def acted(query: Asked, number: int, epoch: str | None, late: bool) -> None:
+    """Show which senders acted on a version of the list, from when to when, and how many calls began."""
     if late:
-        told = asked.ask(lambda stores: stores.late(number, epoch))
-        asked.show(
-            told,
+        answer = query.ask(lambda stores: stores.late(number, epoch))
+        query.show(
+            answer,
             [
-                call_rows(f"calls on list {number} when a later one was in force", told.calls),
-                unknown_rows(told.unknown),
+                call_rows(f"calls on list {number} when a later one was in force", answer.calls),
+                unknown_rows(answer.unknown),
             ],
-            bool(told.calls),
+            bool(answer.calls),
         )
-    told = asked.ask(lambda stores: stores.acted(number, epoch))
+    answer = query.ask(lambda stores: stores.acted(number, epoch))
     rows = [
         (
-            each.sender,
-            each.life,
-            f"{each.number}@{each.digest[:8]}",
-            moment(each.from_ms),
-            "now" if each.open else moment(each.to_ms),
-            each.calls,
-            each.rejected,
-            each.abandoned,
+            stretch.sender,
+            stretch.life,
+            f"{stretch.number}@{stretch.digest[:8]}",
+            moment(stretch.from_ms),
+            "now" if stretch.open else moment(stretch.to_ms),
+            stretch.calls,
+            stretch.rejected,
+            stretch.abandoned,
         )
-        for each in told.stretches
+        for stretch in answer.stretches
     ]
-    asked.show(
-        told,
+    query.show(
+        answer,
         [
             (
                 f"acted on list {number}",
                 ("sender", "life", "list", "from", "to", "calls", "rejected", "abandoned"),
                 rows,
             ),
-            unknown_rows(told.unknown),
+            unknown_rows(answer.unknown),
         ],
         False,
     )
 
 
 @fleet.command()
-@click.option("--endpoint", required=True, help="Its uid in the list.")
-@click.option("--out-at", type=int, required=True, help="The version of the list that took it out.")
-@click.option(
-    "--grace-ms", type=float, default=0.0, show_default=True, help="Calls in this time do not count."
-)
+@click.option("--endpoint", required=True, help="UID of the endpoint in the list.")
+@click.option("--out-at", type=int, required=True, help="Version of the list that removed the endpoint.")
+@click.option("--grace-ms", type=float, default=0.0, show_default=True, help="Ignore calls within this time.")
 @list_option
 @click.pass_obj
-def after(asked: Asked, endpoint: str, out_at: int, grace_ms: float, epoch: str | None) -> None:
-    """Who still called an endpoint after it was out, with which documents, how long past the grace."""
-    told = asked.ask(lambda stores: stores.after(endpoint, out_at, epoch, grace_ms))
-    asked.show(
-        told,
+def after(query: Asked, endpoint: str, out_at: int, grace_ms: float, epoch: str | None) -> None:
+    """Show calls to an endpoint after its removal: sender, document, and time past the grace period."""
+    answer = query.ask(lambda stores: stores.after(endpoint, out_at, epoch, grace_ms))
+    query.show(
+        answer,
         [
-            call_rows(f"calls to {endpoint} after {moment(told.out_ms)}", told.calls),
-            unknown_rows(told.unknown),
+            call_rows(f"calls to {endpoint} after {moment(answer.out_ms)}", answer.calls),
+            unknown_rows(answer.unknown),
         ],
-        bool(told.calls),
+        bool(answer.calls),
     )
 
 
 @fleet.command()
 @click.argument("doc")
 @click.pass_obj
-def document(asked: Asked, doc: str) -> None:
-    """Every sender that called for a document or abandoned it, and the list it acted on."""
-    told = asked.ask(lambda stores: stores.document(doc))
-    asked.show(told, [call_rows(f"document {doc}", told.calls), unknown_rows(told.unknown)], False)
+def document(query: Asked, doc: str) -> None:
+    """Show every sender that began a call for a document or abandoned it, and the list it acted on."""
+    answer = query.ask(lambda stores: stores.document(doc))
+    query.show(answer, [call_rows(f"document {doc}", answer.calls), unknown_rows(answer.unknown)], False)
 
 
 @fleet.command()
-@click.option("--minutes", type=float, default=60.0, show_default=True, help="So far back.")
+@click.option("--minutes", type=float, default=60.0, show_default=True, help="How far to look back.")
 @click.pass_obj
-def timeline(asked: Asked, minutes: float) -> None:
-    """What happened, in its order: versions, lives, gaps, findings."""
-    since = time.time() * 1000.0 - minutes * 60000.0
-    told = asked.ask(lambda stores: stores.timeline(since))
-    asked.show(
-        told,
+def timeline(query: Asked, minutes: float) -> None:
+    """Show events in order of time: versions, process starts and ends, gaps, findings."""
+    since_ms = time.time() * 1000.0 - minutes * 60000.0
+    answer = query.ask(lambda stores: stores.timeline(since_ms))
+    query.show(
+        answer,
         [
             (
                 "timeline",
                 ("when", "who", "what", "detail"),
-                [(moment(each.at_ms), each.sender, each.what, each.detail) for each in told],
+                [(moment(event.at_ms), event.sender, event.what, event.detail) for event in answer],
             )
         ],
         False,
@@ -270,17 +280,26 @@
 
 @fleet.command()
 @click.pass_obj
-def stragglers(asked: Asked) -> None:
-    """Who is behind, on a fork, of a foreign epoch, ahead, flapping or silent, by the keepers' verdicts."""
-    told = asked.ask(lambda stores: stores.stragglers())
-    rows = [(each.sender or "the fleet", each.what, moment(each.at_ms), each.evidence) for each in told]
-    asked.show(told, [("stragglers", ("sender", "is", "verdict of", "evidence"), rows)], bool(told))
+def stragglers(query: Asked) -> None:
+    """Show senders judged to be behind, on a fork, of a foreign epoch, ahead, flapping or silent."""
+    answer = query.ask(lambda stores: stores.stragglers())
+    rows = [
+        (verdict.sender or "the fleet", verdict.what, moment(verdict.at_ms), verdict.evidence)
+        for verdict in answer
+    ]
+    query.show(answer, [("stragglers", ("sender", "is", "verdict of", "evidence"), rows)], bool(answer))
 
 
 @fleet.command()
-@click.option("--grace-ms", type=float, default=2000.0, show_default=True, help="Of an endpoint taken out.")
+@click.option(
+    "--grace-ms",
+    type=float,
+    default=2000.0,
+    show_default=True,
+    help="Ignore calls to a removed endpoint within this time.",
+)
 @click.pass_obj
-def findings(asked: Asked, grace_ms: float) -> None:
-    """What is not as it should be."""
-    told = asked.ask(lambda stores: stores.findings(grace_ms))
-    asked.show(told, [finding_rows(told)], bool(told))
+def findings(query: Asked, grace_ms: float) -> None:
+    """Show all findings: irregularities in the fleet and its audit trails."""
+    answer = query.ask(lambda stores: stores.findings(grace_ms))
+    query.show(answer, [finding_rows(answer)], bool(answer))
--- a/birchstack/keeper/__init__.py
+++ b/birchstack/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper: a process that collects the trails of a fleet, follows its list, and is asked about both."""
+"""The keeper: the audit collector, which polls senders for their audit trails and answers audit queries."""
--- a/birchstack/keeper/__main__.py
+++ b/birchstack/keeper/__main__.py
@@ -1,4 +1,4 @@
-"""python -m birchstack.keeper FILE: one keeper, by the file."""
+"""Runs one audit collector: python -m birchstack.keeper FILE, where FILE is its configuration file."""
 
 import asyncio
 import signal
@@ -13,11 +13,12 @@
 
 
 def main(path: str) -> int:
+    """Runs the collector until it is stopped and returns the process exit status."""
     try:
-        told = load(path)
+        config = load(path)
         signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
         log.start()
-        asyncio.run(serve(told, Machine(), str(Path(told.store).absolute().parent)))
+        asyncio.run(serve(config, Machine(), str(Path(config.store).absolute().parent)))
     except (KeeperError, StoreError) as problem:
         print(f"birchstack: keeper: {problem}", file=sys.stderr)
         return 2
@@ -26,6 +27,6 @@
 
 if __name__ == "__main__":
     if len(sys.argv) != 2:
-        print("birchstack: keeper: one file is wanted", file=sys.stderr)
+        print("birchstack: keeper: expected exactly one argument, the configuration file", file=sys.stderr)
         sys.exit(2)
     sys.exit(main(sys.argv[1]))
--- a/birchstack/keeper/asking.py
+++ b/birchstack/keeper/asking.py
@@ -1,6 +1,6 @@
-"""One call at a sender's door: asks for its trail and tells what came, once.
+"""One poll request: fetches audit records from a sender once and reports the outcome.
 
-Owns the connection of that call and its time-out. Must never decide whom to ask, or look into the records.
+Owns the request's connection and timeout. Must not decide which sender to poll, or look into the records.
 """
 
 from __future__ import annotations
@@ -18,61 +18,77 @@
 
 
 class Ask:
-    """after: records beyond that number; question: for signals, None where the door takes no part.
-    told(piece, sent_at, problem): the piece, or None and why not; times of the loop in seconds."""
+    """One request to a sender's audit address.
+
+    after: fetch the records beyond this number.
+    question: the signals question to send along, or None where the sender does not take part in signals.
+    on_result(answer, sent_at, problem): called once with the answer, or with None and the reason for the
+    failure. sent_at is in seconds of the event loop's clock.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        where: tuple[str, int],
+        address: tuple[str, int],
         after: int,
         question: bytes | None,
         timeout_s: float,
-        told: Callable[[wire.Piece | None, float, str], None],
+        on_result: Callable[[wire.Piece | None, float, str], None],
     ) -> None:
-        self._loop, self._where, self._after, self._told = loop, where, after, told
+        self._loop = loop
+        self._address = address
+        self._after = after
+        self._on_result = on_result
         self._question = question
-        self._reader, self._body = http1.Responses(max_body=BODY), bytearray()
+        self._parser = http1.Responses(max_body=BODY)
+        self._body = bytearray()
         self._link: Link | None = None
-        self._sent_at, self._status, self._over = 0.0, 0, False
-        self._timer = loop.call_later(timeout_s, self._end, None, "no answer in time")
-        self._dial = Dial(loop, where, self, lambda: self._end(None, "no connection"))
+        self._sent_at = 0.0
+        self._status = 0
+        self._finished = False
+        self._timer = loop.call_later(timeout_s, self._finish, None, "no answer within the timeout")
+        self._dial = Dial(loop, address, self, lambda: self._finish(None, "connection failed"))
 
     def opened(self, link: Link) -> None:
-        self._link, self._sent_at = link, self._loop.time()
+        """Sends the request once the connection is established."""
+        self._link = link
+        self._sent_at = self._loop.time()
         method = "GET" if self._question is None else "POST"
-        host = "{}:{}".format(*self._where)
+        host = "{}:{}".format(*self._address)
         link.write(http1.request(method, wire.target(self._after), host, body=self._question or b""))
 
     def received(self, data: memoryview) -> None:
+        """Parses a part of the response; finishes when the response is complete or malformed."""
         try:
-            for event in self._reader.feed(data):
+            for event in self._parser.feed(data):
                 if isinstance(event, http1.Response):
                     self._status = event.status
                 elif isinstance(event, bytes):
                     self._body += event
                 elif self._status != 200:
-                    self._end(None, f"status {self._status}")
+                    self._finish(None, f"status {self._status}")
                     return
                 else:
-                    self._end(wire.decode(self._body), "")
+                    self._finish(wire.decode(self._body), "")
                     return
         except (http1.Malformed, msgspec.DecodeError) as problem:
-            self._end(None, f"malformed: {problem}")
+            self._finish(None, f"malformed: {problem}")
 
     def lost(self) -> None:
-        self._end(None, "the connection broke")
+        """Finishes with a failure: the connection was closed before the response was complete."""
+        self._finish(None, "connection lost")
 
-    def _end(self, piece: wire.Piece | None, problem: str) -> None:
-        if self._over:
+    def _finish(self, answer: wire.Piece | None, problem: str) -> None:
+        if self._finished:
             return
-        self._over = True
+        self._finished = True
         self._timer.cancel()
         self._dial.stop()
         if self._link:
             self._link.abort()
-        self._told(piece, self._sent_at, problem)
+        self._on_result(answer, self._sent_at, problem)
 
     def stop(self) -> None:
-        self._told = lambda piece, sent_at, problem: None
-        self._end(None, "stopped")
+        """Cancels the request; on_result is not called."""
+        self._on_result = lambda answer, sent_at, problem: None
+        self._finish(None, "stopped")
--- a/birchstack/keeper/collect.py
+++ b/birchstack/keeper/collect.py
@@ -1,8 +1,9 @@
-"""When a keeper asks which door for what: a pure core that is fed times and outcomes.
+"""Poll schedule of the collector: pure logic that is given the times and outcomes of polls.
 
-Owns the pace: the doors' turns are spread evenly over the interval, so that a keeper that starts does not ask
-all of a fleet at once; a door that does not answer is asked again after a drawn pause with a growing ceiling
-(full jitter), and asks out are bounded. Must never open a socket or read a clock. Times in seconds.
+Owns the polling rate. First polls are spread evenly over the interval, so that a collector that starts does
+not poll the whole fleet at once. An address that fails is polled again after a random delay below a growing
+ceiling (exponential backoff with full jitter). The number of polls in flight is bounded. Must not open a
+socket or read a clock. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -14,74 +15,91 @@
 
 @dataclass(slots=True)
 class Door:
+    """Poll state of one audit address."""
+
     at: str
-    due: float  # its next turn
-    out: bool = False
-    failed: int = 0  # in a row
+    due: float  # time of the next poll
+    out: bool = False  # a poll is in flight
+    failed: int = 0  # consecutive failures
 
 
 class Rounds:
-    """due() tells whom to ask now; answered() and failed() what came of it."""
+    """Schedules polls: due() returns the addresses to poll now; answered() and failed() report outcomes."""
 
     def __init__(
         self, doors: list[str], now: float, every_s: float, pause_s: float, most: int, chance: random.Random
     ) -> None:
-        self._every, self._pause, self._most, self._chance = every_s, pause_s, most, chance
+        """Schedules the first poll of each address.
+
+        every_s: interval between polls of one address.
+        pause_s: upper bound on the ceiling of the retry delay.
+        most: maximum number of polls in flight.
+        """
+        self._interval_s = every_s
+        self._max_retry_s = pause_s
+        self._max_in_flight = most
+        self._random = chance
         self.doors: dict[str, Door] = {}
         self._heap: list[tuple[float, str]] = []
         self.out = 0
         self.set(doors, now)
 
     def set(self, doors: list[str], now: float) -> None:
-        """The doors from now on; those that stay keep their turn."""
-        fresh = [each for each in doors if each not in self.doors]
-        for gone in [each for each in self.doors if each not in doors]:
-            if self.doors.pop(gone).out:
+        """Replaces the set of addresses; those that remain keep their scheduled poll."""
+        added = [address for address in doors if address not in self.doors]
+        for removed in [address for address in self.doors if address not in doors]:
+            if self.doors.pop(removed).out:
                 self.out -= 1
-        for place, each in enumerate(fresh):
-            self._turn(each, now + self._every * place / len(fresh))
+        for index, address in enumerate(added):
+            self._schedule(address, now + self._interval_s * index / len(added))
 
-    def _turn(self, at: str, when: float) -> None:
-        door = self.doors.setdefault(at, Door(at, when))
-        door.due = when
-        heapq.heappush(self._heap, (when, at))
+    def _schedule(self, address: str, due: float) -> None:
+        target = self.doors.setdefault(address, Door(address, due))
+        target.due = due
+        heapq.heappush(self._heap, (due, address))
 
     def due(self, now: float) -> list[str]:
-        """The doors to ask now; each counts as asked."""
-        asked = []
-        while self._heap and self._heap[0][0] <= now and self.out < self._most:
-            when, at = heapq.heappop(self._heap)
-            door = self.doors.get(at)
-            if door is None or door.out or door.due != when:
-                continue  # gone, or another turn was set
-            door.out = True
+        """Returns the addresses to poll now and counts each as in flight."""
+        polled = []
+        while self._heap and self._heap[0][0] <= now and self.out < self._max_in_flight:
+            due, address = heapq.heappop(self._heap)
+            target = self.doors.get(address)
+            if target is None or target.out or target.due != due:
+                continue  # outdated heap entry: the address was removed or rescheduled
+            target.out = True
             self.out += 1
-            asked.append(at)
-        return asked
+            polled.append(address)
+        return polled
 
     def next(self) -> float | None:
-        """When due() may tell more; None where nothing is to wait for but answers."""
-        return self._heap[0][0] if self._heap and self.out < self._most else None
+        """Returns when due() may return more; None while only the end of a poll in flight can change that."""
+        return self._heap[0][0] if self._heap and self.out < self._max_in_flight else None
 
-    def _back(self, at: str) -> Door | None:
-        door = self.doors.get(at)
-        if door is None or not door.out:
+    def _finish(self, address: str) -> Door | None:
+        """Ends the poll in flight; None for an address that was removed or is not being polled."""
+        target = self.doors.get(address)
+        if target is None or not target.out:
             return None
-        door.out = False
+        target.out = False
         self.out -= 1
-        return door
+        return target
 
     def answered(self, at: str, now: float, more: bool) -> None:
-        """more: it has records that did not fit; asked again at once, behind those that are due."""
-        door = self._back(at)
-        if door:
-            door.failed = 0
-            behind = now - door.due > self._every  # turns that were missed are not made up for
-            self._turn(at, now if more else (now if behind else door.due) + self._every)
+        """Reports a successful poll.
+
+        more: the sender has records that did not fit into the answer. It is polled again at once, after the
+        addresses that are due already.
+        """
+        target = self._finish(at)
+        if target:
+            target.failed = 0
+            overdue = now - target.due > self._interval_s  # missed polls are skipped, not caught up
+            self._schedule(at, now if more else (now if overdue else target.due) + self._interval_s)
 
     def failed(self, at: str, now: float) -> None:
-        door = self._back(at)
-        if door:
-            door.failed += 1
-            ceiling = min(self._pause, self._every * 2.0 ** min(door.failed, 30))
-            self._turn(at, now + max(0.05, self._chance.random() * ceiling))
+        """Reports a failed poll and schedules a retry with exponential backoff and full jitter."""
+        target = self._finish(at)
+        if target:
+            target.failed += 1
+            ceiling = min(self._max_retry_s, self._interval_s * 2.0 ** min(target.failed, 30))
+            self._schedule(at, now + max(0.05, self._random.random() * ceiling))
--- a/birchstack/keeper/config.py
+++ b/birchstack/keeper/config.py
@@ -1,6 +1,6 @@
-"""The keeper's file: read and checked here, wrong keys named with their path.
+"""The collector's configuration file: reads and validates it, and reports an invalid key with its path.
 
-Owns its keys and defaults. Times in seconds.
+Owns the keys and their defaults. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -17,70 +17,100 @@
 
 
 class KeeperError(Exception):
-    """Names the file, the key and what is wrong."""
+    """The configuration file is invalid; the message names the file, the key and the problem."""
 
 
 class Sender(Struct, frozen=True, forbid_unknown_fields=True):
-    """at: its operators' door; also: doors of processes that follow it (upgrades)."""
+    """One sender to poll.
+
+    at: its audit address, which is the address for operators' calls.
+    also: audit addresses of processes that replace it during an upgrade.
+    """
 
     name: str
     at: Place
     also: tuple[Place, ...] = ()
 
     def doors(self) -> tuple[str, ...]:
+        """Returns all audit addresses of this sender."""
         return (self.at, *self.also)
 
 
 class Lists(Struct, frozen=True, forbid_unknown_fields=True):
-    """at: the list service; without it the keeper does not know when a version came into force."""
+    """The list service to watch; without it the collector does not know when a version came into force.
+
+    at: address of the list service.
+    behind_s: a sender that is behind the newest list for longer than this is a finding.
+    """
 
     at: Place
-    behind_s: Above = 10.0  # a sender this long behind the newest list is a finding
+    behind_s: Above = 10.0
 
 
 class Asks(Struct, frozen=True, forbid_unknown_fields=True):
-    every_s: Above = 1.0  # each door is asked so often
+    """How senders are polled.
+
+    every_s: interval between polls of one address.
+    timeout_s: timeout of one poll.
+    most: maximum number of polls in flight.
+    pause_s: longest delay before an address that failed to answer is polled again.
+    silent_s: an address that has not answered for this long is a finding.
+    signal_bytes: size limit for signals of other senders that are relayed in one poll.
+    """
+
+    every_s: Above = 1.0
     timeout_s: Above = 2.0
-    most: Annotated[int, Meta(ge=1, le=4096)] = 32  # asks out at once
-    pause_s: Above = 8.0  # the longest pause before a silent door is asked again
-    silent_s: Above = 10.0  # a door that has not answered for so long is a finding
-    signal_bytes: Annotated[int, Meta(ge=64, le=3072)] = 250  # of the others' signals in one question
+    most: Annotated[int, Meta(ge=1, le=4096)] = 32
+    pause_s: Above = 8.0
+    silent_s: Above = 10.0
+    signal_bytes: Annotated[int, Meta(ge=64, le=3072)] = 250
 
 
 class Keeper(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """Configuration of one collector.
+
+    store: path of the SQLite store.
+    store_mb: maximum size of the store; once it is reached, the store keeps what it has and takes no more.
+    """
+
     name: str
     store: str
     senders: tuple[Sender, ...]
     lists: Lists | None = None
     asks: Asks = Asks()
-    store_mb: Annotated[float, Meta(ge=0.2)] = 4096.0  # the store grows no larger; then it keeps what it has
+    store_mb: Annotated[float, Meta(ge=0.2)] = 4096.0
 
 
 def decode(text: bytes, path: str) -> Keeper:
+    """Parses and validates a configuration; path is used in error messages only."""
     try:
-        told = msgspec.toml.decode(text, type=Keeper)
+        config = msgspec.toml.decode(text, type=Keeper)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
         raise KeeperError(f"{path}: {problem}") from problem
-    seen: dict[str, str] = {}
-    for at, sender in enumerate(told.senders):
-        for door in sender.doors():
-            _address(door, f"{path}: `$.senders[{at}].at`")
-            if door in seen:
-                raise KeeperError(f"{path}: `$.senders[{at}].at`: {door} is a door of {seen[door]} already")
-            seen[door] = sender.name
-    if told.lists:
-        _address(told.lists.at, f"{path}: `$.lists.at`")
-    return told
-
-
-def _address(text: str, where: str) -> None:
+    owners: dict[str, str] = {}
+    for index, sender in enumerate(config.senders):
+        for audit_address in sender.doors():
+            _check_address(audit_address, f"{path}: `$.senders[{index}].at`")
+            if audit_address in owners:
+                raise KeeperError(
+                    f"{path}: `$.senders[{index}].at`: {audit_address} is an address of "
+                    f"{owners[audit_address]} already"
+                )
+            owners[audit_address] = sender.name
+    if config.lists:
+        _check_address(config.lists.at, f"{path}: `$.lists.at`")
+    return config
+
+
+def _check_address(text: str, key: str) -> None:
     try:
         address(text)
     except ValueError as problem:
-        raise KeeperError(f"{where}: {problem}") from problem
+        raise KeeperError(f"{key}: {problem}") from problem
 
 
 def load(path: str) -> Keeper:
+    """Reads the configuration file at path."""
     try:
         with open(path, "rb") as file:
             return decode(file.read(), path)
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -1,7 +1,7 @@
-"""The keeper as a process: asks the doors in their turns, follows the list service, commits what came.
+"""The collector process: polls senders on schedule, watches the list service and commits what it receives.
 
-Owns the clock, the asks under way and the moments of commit. Must never answer a question: whoever asks reads
-the store. Its death loses nothing that it had said to have, and no sender notices it.
+Owns the clock, the polls in flight and the times of commits. Must not answer audit queries: these read the
+store directly. A crash loses nothing that was reported as stored, and senders do not depend on the collector.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from birchstack.net.log import say
 from birchstack.net.machine import LastingClock, Machine
 
-COMMIT_S = 0.1  # what came in this time is committed together
-FULL_S = 5.0  # after a commit that failed, nothing is asked for so long
-REPORT_S = 60.0
-JUDGE_S = 0.5  # so often every sender is judged anew
+COMMIT_S = 0.1  # answers that arrive within this time share one transaction
+FULL_S = 5.0  # no polls for this long after a failed write
+REPORT_S = 60.0  # interval of the log line with the counters
+JUDGE_S = 0.5  # interval of the verdicts on all senders
 log = logging.getLogger(__name__)
 
 
 class Collector:
-    """One keeper from its start to its end."""
+    """Runs one collector from its start to its end."""
 
     def __init__(
         self,
@@ -45,119 +45,147 @@
         clock: LastingClock,
         chance: random.Random,
     ) -> None:
-        self._told, self._loop, self._store, self._machine = told, loop, store, machine
+        self._config = told
+        self._loop = loop
+        self._store = store
+        self._machine = machine
         self._clock = clock
-        self._doors = {door: sender.name for sender in told.senders for door in sender.doors()}
+        self._sender_names = {
+            audit_address: sender.name for sender in told.senders for audit_address in sender.doors()
+        }
         asks = told.asks
-        self._rounds = Rounds([*self._doors], loop.time(), asks.every_s, asks.pause_s, asks.most, chance)
+        self._schedule = Rounds(
+            [*self._sender_names], loop.time(), asks.every_s, asks.pause_s, asks.most, chance
+        )
         self._relay = Relay(asks.signal_bytes)
-        self._out: dict[str, Ask] = {}
-        self._timer: asyncio.TimerHandle | None = None
-        self._committing: asyncio.TimerHandle | None = None
-        self._full_until = 0.0
+        self._polls: dict[str, Ask] = {}
+        self._poll_timer: asyncio.TimerHandle | None = None
+        self._commit_timer: asyncio.TimerHandle | None = None
+        self._paused_until = 0.0  # no polls before this time, after a failed write
         self._counts = {"asked": 0, "answered": 0, "failed": 0, "records": 0, "commits_failed": 0}
         self._watch: Watch | None = None
-        self._held: Version | None = None  # the version stored last, and its endpoints
-        self._states: dict[str, str] = {}
+        self._latest_list: Version | None = None  # the list version stored last, and its endpoints' states
+        self._latest_states: dict[str, str] = {}
         self._contents = Contents()
-        self._turns, self._verdicts = lag.Turns(), {}
-        self._began_ms = clock.ms()
+        self._turns = lag.Turns()
+        self._verdicts = {}
+        self._started_ms = clock.ms()
         self.ended = loop.create_future()
 
     def start(self) -> None:
+        """Starts polling, the watch of the list service and the periodic tasks."""
         self._machine.on_signals(self._loop, self.stop, lambda: None)
-        self._held, self._states = self._store.newest()
-        if self._told.lists:
+        self._latest_list, self._latest_states = self._store.newest()
+        if self._config.lists:
             self._watch = Watch(
-                self._loop, address(self._told.lists.at), (), lambda mode, listed: None, self._listed
+                self._loop, address(self._config.lists.at), (), lambda mode, listed: None, self._on_list
             )
             self._watch.start({})
-        say(log, "keeping", name=self._told.name, doors=len(self._doors), store=self._told.store)
-        self._loop.call_later(REPORT_S, self._report)
-        self._loop.call_later(JUDGE_S, self._judge)
-        self._go()
+        say(
+            log,
+            "keeping",
+            name=self._config.name,
+            doors=len(self._sender_names),
+            store=self._config.store,
+        )
+        self._loop.call_later(REPORT_S, self._log_counts)
+        self._loop.call_later(JUDGE_S, self._update_verdicts)
+        self._poll()
 
     def stop(self) -> None:
+        """Cancels polls and timers, commits, and completes `ended`."""
         if self.ended.done():
             return
-        for ask in [*self._out.values()]:
-            ask.stop()
+        for poll in [*self._polls.values()]:
+            poll.stop()
         if self._watch:
             self._watch.stop()
-        for timer in (self._timer, self._committing):
+        for timer in (self._poll_timer, self._commit_timer):
             if timer:
                 timer.cancel()
         self._commit()
         say(log, "ended", **self._counts, **self._relay.counts)
         self.ended.set_result(None)
 
-    def _report(self) -> None:
-        say(log, "state", out=len(self._out), **self._counts, **self._relay.counts)
-        self._loop.call_later(REPORT_S, self._report)
+    def _log_counts(self) -> None:
+        say(log, "state", out=len(self._polls), **self._counts, **self._relay.counts)
+        self._loop.call_later(REPORT_S, self._log_counts)
 
-    # Asking
+    # Polling
 
-    def _go(self) -> None:
+    def _poll(self) -> None:
+        """Starts the polls that are due and sets the timer for the next ones."""
         if self.ended.done():
             return
         now = self._loop.time()
-        if now >= self._full_until:
-            for at in self._rounds.due(now):
+        if now >= self._paused_until:
+            for audit_address in self._schedule.due(now):
                 self._counts["asked"] += 1
-                self._out[at] = Ask(
+                self._polls[audit_address] = Ask(
                     self._loop,
-                    address(at),
-                    self._store.wanted(at),
-                    self._relay.question(at, self._machine.steady_ms()),
-                    self._told.asks.timeout_s,
-                    partial(self._answered, at),
+                    address(audit_address),
+                    self._store.wanted(audit_address),
+                    self._relay.question(audit_address, self._machine.steady_ms()),
+                    self._config.asks.timeout_s,
+                    partial(self._on_answer, audit_address),
                 )
-        due = max(self._rounds.next() or now + 1.0, self._full_until)
-        if self._timer:
-            self._timer.cancel()
-        self._timer = self._loop.call_later(max(0.001, due - now), self._go)
+        due = max(self._schedule.next() or now + 1.0, self._paused_until)
+        if self._poll_timer:
+            self._poll_timer.cancel()
+        self._poll_timer = self._loop.call_later(max(0.001, due - now), self._poll)
 
-    def _answered(self, at: str, piece: wire.Piece | None, sent_at: float, problem: str) -> None:
-        self._out.pop(at, None)
+    def _on_answer(self, at: str, answer: wire.Piece | None, sent_at: float, problem: str) -> None:
+        """Stores the answer of a poll, or records its failure, and goes on polling."""
+        self._polls.pop(at, None)
         now = self._loop.time()
-        if piece is not None and piece.name != self._doors.get(at):
+        if answer is not None and answer.name != self._sender_names.get(at):
             self._store.found(
-                "wrong door", self._doors.get(at, ""), f"{at} answers as {piece.name}", self._clock.ms()
+                "wrong door",
+                self._sender_names.get(at, ""),
+                f"{at} answers as {answer.name}",
+                self._clock.ms(),
             )
-        if piece is None:
+        if answer is None:
             self._counts["failed"] += 1
             log.debug("no answer", extra={"words": {"at": at, "problem": problem}})
-            self._rounds.failed(at, now)
+            self._schedule.failed(at, now)
         else:
             self._counts["answered"] += 1
-            spent_ms, steady_ms = (now - sent_at) * 1000.0, self._machine.steady_ms()
-            self._relay.answered(at, self._doors.get(at, ""), piece, steady_ms - spent_ms, steady_ms)
-            piece = msgspec.structs.replace(piece, signals=b"")  # they age: nothing to keep
-            half_ms = (now - sent_at) * 500.0  # it spoke somewhere between the question and the answer
+            round_trip_ms = (now - sent_at) * 1000.0
+            steady_ms = self._machine.steady_ms()
+            self._relay.answered(
+                at, self._sender_names.get(at, ""), answer, steady_ms - round_trip_ms, steady_ms
+            )
+            answer = msgspec.structs.replace(answer, signals=b"")  # signals expire, so they are not stored
+            # the sender's clock was read somewhere between request and answer: assume the middle
+            half_round_trip_ms = (now - sent_at) * 500.0
             try:
-                more = self._store.take(at, piece, self._clock.ms() - half_ms, half_ms)
-            except sqlite3.Error as failed:
-                self._broken(failed)
+                more = self._store.take(at, answer, self._clock.ms() - half_round_trip_ms, half_round_trip_ms)
+            except sqlite3.Error as error:
+                self._write_failed(error)
                 more = False
-            self._rounds.answered(at, now, more)
-            self._soon()
-        self._go()
+            self._schedule.answered(at, now, more)
+            self._schedule_commit()
+        self._poll()
 
-    def _soon(self) -> None:
-        if self._committing is None:
-            self._committing = self._loop.call_later(COMMIT_S, self._commit)
+    def _schedule_commit(self) -> None:
+        if self._commit_timer is None:
+            self._commit_timer = self._loop.call_later(COMMIT_S, self._commit)
 
     def _commit(self) -> None:
-        self._committing = None
+        self._commit_timer = None
         if not self._store.commit():
-            self._broken("not committed")
+            self._write_failed("commit failed")
 
-    def _broken(self, problem: object) -> None:
-        """The disk is full or failed: what came since the last commit is asked for again later."""
+    def _write_failed(self, problem: object) -> None:
+        """Rolls back and pauses polling: the disk is full or failed.
+
+        Records received since the last commit are fetched again by later polls.
+        """
         self._store.rollback()
-        self._held, self._states = self._store.newest()
+        self._latest_list, self._latest_states = self._store.newest()
         self._counts["commits_failed"] += 1
-        self._full_until = self._loop.time() + FULL_S
+        self._paused_until = self._loop.time() + FULL_S
         if self._counts["commits_failed"] in (1, 10, 100) or self._counts["commits_failed"] % 1000 == 0:
             say(
                 log,
@@ -169,69 +197,77 @@
 
     # Verdicts
 
-    def _judge(self) -> None:
-        """Who is a straggler now; the store keeps each change of a verdict, with its evidence."""
+    def _update_verdicts(self) -> None:
+        """Judges the staleness of every sender and stores each change of a verdict with its evidence."""
         if self.ended.done():
             return
-        self._loop.call_later(JUDGE_S, self._judge)
+        self._loop.call_later(JUDGE_S, self._update_verdicts)
         now = self._clock.ms()
         bounds = lag.Bounds(
-            self._told.lists.behind_s * 1000.0 if self._told.lists else lag.Bounds.behind_ms,
-            self._told.asks.silent_s * 1000.0,
+            self._config.lists.behind_s * 1000.0 if self._config.lists else lag.Bounds.behind_ms,
+            self._config.asks.silent_s * 1000.0,
         )
-        if now - self._began_ms < bounds.silent_ms:
-            return  # nobody had time to be silent yet
+        if now - self._started_ms < bounds.silent_ms:
+            return  # too early to tell a silent sender from one that was not polled yet
         heard = now - self._watch.silent_ms() if self._watch else None
-        versions = tuple((Version(LIST, *words), at) for *words, at in self._store.given())
+        versions = tuple((Version(LIST, *fields), at_ms) for *fields, at_ms in self._store.given())
         view = lag.judge(self._sightings(), lag.Given(versions, heard), now, bounds, self._turns)
-        told = {"": (view.fleet, view.evidence, 0.0)}
-        told.update((each.sender, (each.what, each.evidence, each.since_ms)) for each in view.verdicts)
-        for sender, (what, evidence, since) in told.items():
+        verdicts = {"": (view.fleet, view.evidence, 0.0)}
+        verdicts.update(
+            (verdict.sender, (verdict.what, verdict.evidence, verdict.since_ms)) for verdict in view.verdicts
+        )
+        for sender, (what, evidence, since_ms) in verdicts.items():
             if self._verdicts.get(sender, lag.WELL) != what:
-                self._store.judged(sender, what, evidence, since, now)
+                self._store.judged(sender, what, evidence, since_ms, now)
                 say(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
-                self._soon()
+                self._schedule_commit()
             self._verdicts[sender] = what
 
     def _sightings(self) -> list[lag.Sighting]:
-        """Each sender by the door that answered last and acts, of those that the file names."""
-        best: dict[str, lag.Sighting] = {name: lag.Sighting(name, None) for name in self._doors.values()}
-        for at, _, answered, kept in self._store.doors():
-            name = self._doors.get(at)
-            if name is None or answered is None or kept is None:
+        """Returns for each configured sender the latest answer of a process that holds the folder."""
+        latest: dict[str, lag.Sighting] = {
+            name: lag.Sighting(name, None) for name in self._sender_names.values()
+        }
+        for audit_address, _, answered_ms, encoded in self._store.doors():
+            name = self._sender_names.get(audit_address)
+            if name is None or answered_ms is None or encoded is None:
                 continue
-            piece = wire.decode(kept)
-            had = best[name].answered_ms
-            if piece.holds and (had is None or answered > had):
-                best[name] = lag.Sighting(name, answered, piece.versions.get(LIST), piece.heard_ms)
-        return [*best.values()]
+            answer = wire.decode(encoded)
+            previous_ms = latest[name].answered_ms
+            if answer.holds and (previous_ms is None or answered_ms > previous_ms):
+                latest[name] = lag.Sighting(name, answered_ms, answer.versions.get(LIST), answer.heard_ms)
+        return [*latest.values()]
 
-    # The list
+    # List service
 
-    def _listed(self, told: dict, source: str) -> bool:
-        """Each version as the service gives it out, at the time at which it came here."""
+    def _on_list(self, message: dict, source: str) -> bool:
+        """Stores a version that the list service published, with the time at which it arrived here."""
         contents = self._contents
-        contents.apply(bool(told.get("all")), told["targets"])
-        version = Version(LIST, source, str(told.get("epoch") or ""), told["rev"], contents.digest())
-        order = compare(version, self._held) if self._held else FIRST
+        contents.apply(bool(message.get("all")), message["targets"])
+        version = Version(LIST, source, str(message.get("epoch") or ""), message["rev"], contents.digest())
+        order = compare(version, self._latest_list) if self._latest_list else FIRST
         if order == SAME:
             return True
-        changes = {name: state for name, state in contents.states.items() if self._states.get(name) != state}
+        changes = {
+            name: state for name, state in contents.states.items() if self._latest_states.get(name) != state
+        }
         changes.update(
             (name, "left")
-            for name, state in self._states.items()
+            for name, state in self._latest_states.items()
             if name not in contents.states and state != "left"
         )
-        self._held, self._states = version, dict(contents.states)
+        self._latest_list = version
+        self._latest_states = dict(contents.states)
         try:
             self._store.publish(version, order, changes, self._clock.ms())
         except sqlite3.Error as problem:
-            self._broken(problem)
-        self._soon()
+            self._write_failed(problem)
+        self._schedule_commit()
         return True
 
 
 async def serve(told: Keeper, machine: Machine, folder: str) -> None:
+    """Runs a collector until it is stopped; folder holds its clock's state."""
     loop = asyncio.get_running_loop()
     store = Store(told.store, told.store_mb)
     collector = Collector(
--- a/birchstack/keeper/questions.py
+++ b/birchstack/keeper/questions.py
@@ -1,9 +1,9 @@
-"""Questions to keepers' stores, and their answers as values.
+"""Audit queries over the stores of collectors; answers are plain values.
 
-Owns what each question means. Reads only; several stores are asked one by one and their answers put together:
-a call that any of them has is known, and a time is unknown only where none of them has it. An answer that
-rests on a gap says from when to when nothing is known; it never says "no" for that time. Times: the keeper's,
-in milliseconds of Unix time.
+Owns the meaning of each query. Read-only. Several stores are queried one by one and their answers merged: a
+call that is in any of them is known, and a period is unknown only where it is unknown in all of them. An
+answer that depends on a gap reports the period for which nothing is known; it never answers "no" for that
+period. Times are the collector's, in milliseconds of Unix time.
 """
 
 from __future__ import annotations
@@ -17,16 +17,18 @@
 from birchstack.fleet import lag, wire
 from birchstack.fleet.versions import LIST, Version
 
-SLACK_MS = 50.0  # news that is on its way: the list service to the keeper or a sender
+SLACK_MS = 50.0  # time for a new version to travel from the list service to the collector or a sender
 
 
 class AskError(Exception):
-    """What cannot be answered, and why."""
+    """A query cannot be answered; the message says why."""
 
 
 class Unknown(msgspec.Struct, frozen=True, order=True):
-    """Nothing, or less than was asked, is known of this sender in this time. calls: those known to have begun
-    in it without being named; -1: not even how many."""
+    """A period for which nothing, or less than was queried, is known of a sender.
+
+    calls: how many calls are known to have begun in it without being named; -1 if the number is unknown too.
+    """
 
     sender: str
     from_ms: float
@@ -36,7 +38,10 @@
 
 
 class Stretch(msgspec.Struct, frozen=True, order=True):
-    """A sender acted on one list. open: it still does, as far as is known."""
+    """A period during which a sender acted on one version of the list.
+
+    open: the sender still acts on it, as far as is known.
+    """
 
     sender: str
     from_ms: float
@@ -54,7 +59,10 @@
 
 
 class Call(msgspec.Struct, frozen=True, order=True):
-    """One call that began, or (endpoint None) a document that was abandoned."""
+    """One call that began or, with endpoint None, a document that was abandoned.
+
+    past_ms: how long after the time limit of the query it began.
+    """
 
     at_ms: float
     sender: str
@@ -64,16 +72,21 @@
     number: int | None
     digest: str
     life: str
-    past_ms: float = 0.0  # beyond what was asked about
+    past_ms: float = 0.0
 
 
 class Acted(msgspec.Struct, frozen=True):
+    """The senders that acted on a version, and the periods for which this is unknown."""
+
     stretches: list[Stretch]
     unknown: list[Unknown]
 
 
 class Calls(msgspec.Struct, frozen=True):
-    """out_ms, in_ms: between which the calls count (in_ms 0: until now)."""
+    """The calls that match a query, and the periods for which they are unknown.
+
+    out_ms, in_ms: start and end of the period queried; in_ms 0 means up to now.
+    """
 
     calls: list[Call]
     unknown: list[Unknown]
@@ -82,8 +95,13 @@
 
 
 class Sender(msgspec.Struct, frozen=True, order=True):
-    """age_ms: of the picture. behind: versions that its list is behind the newest; behind_ms: for how long
-    there has been a newer one; -1 where there is no newest."""
+    """Status of one sender process.
+
+    age_ms: age of the stored records, from when they were last complete.
+    behind: number of versions by which its list is behind the newest.
+    behind_ms: for how long there has been a newer version.
+    -1 stands for an unknown value: no list was published, or the sender has not answered.
+    """
 
     sender: str
     at: str
@@ -103,6 +121,8 @@
 
 
 class Finding(msgspec.Struct, frozen=True, order=True):
+    """An irregularity that an operator should look at."""
+
     kind: str
     sender: str
     detail: str
@@ -110,7 +130,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True, order=True):
-    """A keeper's verdict on a sender ("" on the fleet as a whole), and what it rests on."""
+    """A collector's verdict on a sender, or on the whole fleet if sender is empty, with its evidence."""
 
     sender: str
     what: str
@@ -120,7 +140,7 @@
 
 
 class TimelineEvent(msgspec.Struct, frozen=True, order=True):
-    """One row of the timeline; at_ms: the keeper's time."""
+    """One event of the timeline; at_ms is the collector's time."""
 
     at_ms: float
     sender: str
@@ -129,6 +149,8 @@
 
 
 class Published(msgspec.Struct, frozen=True):
+    """A list version that the list service published while the collector watched it."""
+
     id: int
     epoch: str
     number: int
@@ -138,40 +160,56 @@
     at_ms: float
 
     def version(self) -> Version:
+        """Returns the version in the form that senders report."""
         return Version(LIST, self.source, self.epoch, self.number, self.digest)
 
 
 class Reader:
-    """One keeper's store, read only."""
+    """Read-only queries on the store of one collector."""
 
     def __init__(
         self, db: sqlite3.Connection, now_ms: float, silent_ms: float = 10_000.0, behind_ms: float = 10_000.0
     ) -> None:
-        self.db, self.now, self.silent, self.behind = db, now_ms, silent_ms, behind_ms
+        """Reads the clock offsets of all boots.
+
+        silent_ms, behind_ms: how long an answer or a new version may take before it becomes a finding.
+        """
+        self.db = db
+        self.now = now_ms
+        self.silent = silent_ms
+        self.behind = behind_ms
         self._clocks = {
-            boot: (offset, error)
-            for boot, offset, error in self._rows("SELECT boot, offset_ms, error_ms FROM clock")
+            boot: (offset_ms, error_ms)
+            for boot, offset_ms, error_ms in self._rows("SELECT boot, offset_ms, error_ms FROM clock")
         }
-        self._walls = dict(self._rows("SELECT boot, min(wall_ms - steady_ms) FROM life GROUP BY boot"))
+        self._wall_offsets = dict(self._rows("SELECT boot, min(wall_ms - steady_ms) FROM life GROUP BY boot"))
 
-    def _rows(self, text: str, *words: object) -> list[tuple]:
-        return self.db.execute(text, words).fetchall()
+    def _rows(self, sql: str, *parameters: object) -> list[tuple]:
+        return self.db.execute(sql, parameters).fetchall()
 
     def at(self, boot: str, steady_ms: float) -> float:
-        """The keeper's time; by the sender's own wall clock for a boot that no keeper ever met."""
-        offset, _ = self._clocks.get(boot, (self._walls.get(boot, 0.0), 0.0))
-        return steady_ms + offset
+        """Converts a sender's steady-clock time to the collector's time.
+
+        For a boot that no answer came from, the offset is that of the sender's own wall clock.
+        """
+        offset_ms, _ = self._clocks.get(boot, (self._wall_offsets.get(boot, 0.0), 0.0))
+        return steady_ms + offset_ms
 
     def steady(self, boot: str, at_ms: float) -> float:
+        """Converts the collector's time to the steady clock of a boot."""
         return at_ms - self.at(boot, 0.0)
 
-    # What is not known
+    # Unknown periods
 
     def unknown(
         self, from_ms: float = 0.0, to_ms: float | None = None, singles: bool = True
     ) -> list[Unknown]:
-        """singles: single calls are asked for, so what is folded counts too."""
-        to_ms, found = self.now if to_ms is None else to_ms, []
+        """Returns the unknown periods that overlap from_ms to to_ms.
+
+        singles: the query is about single calls, so periods of which only totals are known count too.
+        """
+        to_ms = self.now if to_ms is None else to_ms
+        found = []
         for sender, boot, begin, end, why, calls, totals in self._rows(
             "SELECT sender, boot, from_ms, to_ms, why, calls, totals FROM gap"
         ):
@@ -182,29 +220,31 @@
             "AND complete_ms IS NOT NULL GROUP BY sender, boot"
         ):
             found.append(Unknown(sender, self.at(boot, complete), self.now, "not heard of since"))
-        known = {
-            each[0] for each in self._rows("SELECT DISTINCT sender FROM door WHERE complete_ms NOT NULL")
+        known_senders = {
+            row[0] for row in self._rows("SELECT DISTINCT sender FROM door WHERE complete_ms NOT NULL")
         }
-        for at, sender in self._rows("SELECT at, sender FROM door"):
-            if sender not in known:
-                found.append(Unknown(sender or at, 0.0, self.now, "never heard of"))
-        last: dict[str, Unknown] = {}
-        for each in sorted(found, key=lambda each: each.from_ms):  # an older boot's end is no gap: it went on
-            if each.why == "not heard of since":
-                last[each.sender] = each
+        for address, sender in self._rows("SELECT at, sender FROM door"):
+            if sender not in known_senders:
+                found.append(Unknown(sender or address, 0.0, self.now, "never heard of"))
+        # Of each sender only the latest boot counts as not heard of since: after an earlier boot it went on.
+        latest: dict[str, Unknown] = {}
+        for period in sorted(found, key=lambda period: period.from_ms):
+            if period.why == "not heard of since":
+                latest[period.sender] = period
         return sorted(
             {
-                each
-                for each in found
-                if each.from_ms < to_ms
-                and each.to_ms > from_ms
-                and (each.why != "not heard of since" or each is last[each.sender])
+                period
+                for period in found
+                if period.from_ms < to_ms
+                and period.to_ms > from_ms
+                and (period.why != "not heard of since" or period is latest[period.sender])
             }
         )
 
-    # Lists
+    # Published versions
 
     def published(self) -> list[Published]:
+        """Returns all published list versions, oldest first."""
         return [
             Published(*row)
             for row in self._rows(
@@ -213,33 +253,35 @@
         ]
 
     def of_number(self, number: int, epoch: str | None) -> list[Published]:
+        """Returns the published versions with this number, of one epoch or (None) of all."""
         return [
-            each
-            for each in self.published()
-            if each.number == number and (epoch is None or each.epoch == epoch)
+            version
+            for version in self.published()
+            if version.number == number and (epoch is None or version.epoch == epoch)
         ]
 
-    # Questions
+    # Queries
 
     def acted(self, number: int, epoch: str | None = None) -> Acted:
-        open_now = {
-            (trail, msgspec.msgpack.decode(state)[4])
-            for trail, state in self._rows(
+        """Returns which senders acted on a list version, from when to when, with their totals."""
+        open_stretches = {
+            (branch, msgspec.msgpack.decode(state)[4])
+            for branch, state in self._rows(
                 "SELECT trail, state FROM door WHERE state IS NOT NULL AND next > 1"
             )
         }
-        ended = {life for (life,) in self._rows("SELECT life FROM life WHERE ended_ms IS NOT NULL")}
+        ended_lives = {life for (life,) in self._rows("SELECT life FROM life WHERE ended_ms IS NOT NULL")}
         complete = dict(self._rows("SELECT boot || sender, max(complete_ms) FROM door GROUP BY boot, sender"))
         found = []
         for (
-            trail,
-            at,
+            branch,
+            stretch_number,
             sender,
             life,
             boot,
-            has,
+            stretch_epoch,
             digest,
-            versions,
+            encoded_versions,
             begin,
             end,
             calls,
@@ -251,26 +293,29 @@
             "rejected, abandoned, mixed FROM stretch WHERE list=?",
             number,
         ):
-            if mixed or epoch is not None and has != epoch:
+            if mixed or epoch is not None and stretch_epoch != epoch:
                 continue
-            is_open = (trail, at) in open_now and life not in ended
+            is_open = (branch, stretch_number) in open_stretches and life not in ended_lives
             if is_open:
                 end = max(end, complete.get(boot + sender) or end)
-            words = msgspec.msgpack.decode(versions, type=dict[str, Version])
+            versions = msgspec.msgpack.decode(encoded_versions, type=dict[str, Version])
             found.append(
                 Stretch(
                     sender,
                     self.at(boot, begin),
                     self.at(boot, end),
                     life,
-                    has,
+                    stretch_epoch,
                     number,
                     digest,
                     calls,
                     rejected,
                     abandoned,
                     is_open,
-                    *(words[kind].digest[:8] if kind in words else "" for kind in ("settings", "decisions")),
+                    *(
+                        versions[kind].digest[:8] if kind in versions else ""
+                        for kind in ("settings", "decisions")
+                    ),
                 )
             )
         mixed = [
@@ -279,22 +324,27 @@
                 "SELECT sender, boot, from_ms, to_ms, calls FROM stretch WHERE mixed AND list IS NULL"
             )
         ]
-        begin = min((each.at_ms for each in self.of_number(number, epoch)), default=0.0)
+        begin = min((version.at_ms for version in self.of_number(number, epoch)), default=0.0)
         return Acted(sorted(found), sorted({*self.unknown(begin, singles=False), *mixed}))
 
-    def _calls(self, where: str, *words: object) -> list[Call]:
+    def _calls(self, where: str, *parameters: object) -> list[Call]:
+        """Returns the calls that match an SQL condition on call c and stretch s."""
         return [
-            Call(self.at(boot, at), sender, doc, endpoint, epoch, number, digest, life)
-            for at, sender, doc, endpoint, epoch, number, digest, life, boot in self._rows(
+            Call(self.at(boot, steady_ms), sender, doc, endpoint, epoch, number, digest, life)
+            for steady_ms, sender, doc, endpoint, epoch, number, digest, life, boot in self._rows(
                 "SELECT c.at_ms, s.sender, c.doc, c.endpoint, s.epoch, s.list, s.digest, s.life, s.boot "
                 f"FROM call c JOIN stretch s ON s.id=c.stretch WHERE {where}",
-                *words,
+                *parameters,
             )
         ]
 
     def after(self, endpoint: str, out_at: int, epoch: str | None = None, grace_ms: float = 0.0) -> Calls:
-        """Calls to an endpoint begun later than grace_ms after the version came into force that took it out,
-        up to when a later version puts it back."""
+        """Returns calls to an endpoint that began after a list version had removed it.
+
+        out_at: the version that removed the endpoint.
+        grace_ms: calls within this time after that version came into force do not count. The period queried
+        ends when a later version adds the endpoint again.
+        """
         changes = [
             (Published(*row[:-1]), row[-1])
             for row in self._rows(
@@ -303,19 +353,23 @@
                 endpoint,
             )
         ]
-        outs = [
-            each
-            for each, state in changes
-            if each.number == out_at
+        removals = [
+            version
+            for version, state in changes
+            if version.number == out_at
             and state in ("leaving", "left")
-            and (epoch is None or each.epoch == epoch)
+            and (epoch is None or version.epoch == epoch)
         ]
-        if not outs:
-            told = ", ".join(f"{each.number}: {state}" for each, state in changes) or "none"
-            raise AskError(f"{endpoint} was not taken out by list {out_at} (its changes: {told})")
-        out = outs[0]
-        back = next((each.at_ms for each, state in changes if each.id > out.id and state == "active"), 0.0)
-        begin, end = out.at_ms + grace_ms, back or self.now
+        if not removals:
+            listed = ", ".join(f"{version.number}: {state}" for version, state in changes) or "none"
+            raise AskError(f"{endpoint} was not taken out by list {out_at} (its changes: {listed})")
+        removal = removals[0]
+        restored_ms = next(
+            (version.at_ms for version, state in changes if version.id > removal.id and state == "active"),
+            0.0,
+        )
+        begin = removal.at_ms + grace_ms
+        end = restored_ms or self.now
         found = []
         for boot in {row[0] for row in self._rows("SELECT DISTINCT boot FROM stretch")}:
             found += self._calls(
@@ -325,25 +379,26 @@
                 self.steady(boot, begin),
                 self.steady(boot, end),
             )
-        calls = [msgspec.structs.replace(each, past_ms=each.at_ms - begin) for each in found]
-        return Calls(sorted(calls), self.unknown(begin, end), begin, back)
+        calls = [msgspec.structs.replace(call, past_ms=call.at_ms - begin) for call in found]
+        return Calls(sorted(calls), self.unknown(begin, end), begin, restored_ms)
 
     def document(self, doc: str) -> Calls:
+        """Returns every call for a document, and every sender that abandoned it."""
         return Calls(sorted(self._calls("c.doc=?", doc)), self.unknown())
 
     def late(self, number: int, epoch: str | None = None, slack_ms: float = SLACK_MS) -> Calls:
-        """Calls begun on a list when a later one had been in force for slack_ms."""
+        """Returns calls that began on a version when a later one had been in force for slack_ms."""
         published = self.published()
-        mine = [
-            at
-            for at, each in enumerate(published)
-            if each.number == number and (epoch is None or each.epoch == epoch)
+        matching = [
+            index
+            for index, version in enumerate(published)
+            if version.number == number and (epoch is None or version.epoch == epoch)
         ]
-        if not mine:
+        if not matching:
             raise AskError(f"list {number} was never given out while this keeper followed the list service")
-        if mine[-1] + 1 == len(published):
+        if matching[-1] + 1 == len(published):
             return Calls([], [])  # it is still in force
-        begin = published[mine[-1] + 1].at_ms + slack_ms
+        begin = published[matching[-1] + 1].at_ms + slack_ms
         found = []
         for boot in {row[0] for row in self._rows("SELECT DISTINCT boot FROM stretch")}:
             found += self._calls(
@@ -353,47 +408,63 @@
                 self.steady(boot, begin),
             )
         calls = [
-            msgspec.structs.replace(each, past_ms=each.at_ms - begin)
-            for each in found
-            if epoch is None or each.epoch == epoch
+            msgspec.structs.replace(call, past_ms=call.at_ms - begin)
+            for call in found
+            if epoch is None or call.epoch == epoch
         ]
         return Calls(sorted(calls), self.unknown(begin), begin)
 
     def status(self) -> list[Sender]:
-        published, found = self.published(), []
+        """Returns the status of the process at each polled address, from its last answer."""
+        published = self.published()
+        found = []
         newest = published[-1] if published else None
-        for at, sender, boot, complete, answered, kept in self._rows(
+        for address, sender, boot, complete, answered_ms, encoded in self._rows(
             "SELECT at, sender, boot, complete_ms, answered_ms, piece FROM door"
         ):
-            if kept is None:
+            if encoded is None:
                 found.append(
                     Sender(
-                        sender or "?", at, "", False, False, "", -1, -1.0, -1.0, -1.0, -1.0, False, "", "", 0
+                        sender or "?",
+                        address,
+                        "",
+                        False,
+                        False,
+                        "",
+                        -1,
+                        -1.0,
+                        -1.0,
+                        -1.0,
+                        -1.0,
+                        False,
+                        "",
+                        "",
+                        0,
                     )
                 )
                 continue
-            piece = wire.decode(kept)
-            held = piece.versions.get(LIST)
-            behind, behind_ms = self._behind(published, newest, held)
+            answer = wire.decode(encoded)
+            list_version = answer.versions.get(LIST)
+            behind, behind_ms = self._behind(published, newest, list_version)
             found.append(
                 Sender(
                     sender,
-                    at,
-                    piece.life,
-                    piece.holds,
-                    piece.ready,
-                    str(held) if held else "none",
+                    address,
+                    answer.life,
+                    answer.holds,
+                    answer.ready,
+                    str(list_version) if list_version else "none",
                     behind,
                     behind_ms,
                     self.now - self.at(boot, complete) if complete else -1.0,
-                    self.now - answered,
-                    piece.heard_ms,
-                    piece.failing,
+                    self.now - answered_ms,
+                    answer.heard_ms,
+                    answer.failing,
                     *(
-                        str(piece.versions[kind].digest[:8]) if kind in piece.versions else ""
+                        str(answer.versions[kind].digest[:8]) if kind in answer.versions else ""
                         for kind in ("settings", "decisions")
                     ),
-                    piece.held,
+                    answer.held,
                 )
             )
         return sorted(found)
@@ -401,84 +472,95 @@
     def _behind(
         self, published: list[Published], newest: Published | None, held: Version | None
     ) -> tuple[int, float]:
+        """Returns by how many versions and for how long (ms) a list is behind the newest."""
         if newest is None:
             return -1, -1.0
         if held and (held.epoch, held.number, held.digest) == (newest.epoch, newest.number, newest.digest):
             return 0, 0.0
-        at = next(
+        held_index = next(
             (
-                at
-                for at in range(len(published) - 1, -1, -1)
+                index
+                for index in range(len(published) - 1, -1, -1)
                 if held
-                and (published[at].epoch, published[at].number, published[at].digest)
+                and (published[index].epoch, published[index].number, published[index].digest)
                 == (held.epoch, held.number, held.digest)
             ),
             None,
         )
-        since = published[at + 1 if at is not None else 0].at_ms
-        return len(published) - 1 - at if at is not None else len(published), self.now - since
+        since_ms = published[held_index + 1 if held_index is not None else 0].at_ms
+        return (
+            len(published) - 1 - held_index if held_index is not None else len(published),
+            self.now - since_ms,
+        )
 
     def verdicts(self) -> list[Verdict]:
-        """Every change of a verdict, oldest first."""
+        """Returns every change of a verdict, oldest first."""
         return [
             Verdict(*row)
             for row in self._rows("SELECT sender, what, evidence, since_ms, at_ms FROM verdict ORDER BY id")
         ]
 
     def stragglers(self) -> list[Verdict]:
-        """Those that do not stand well now; the fleet as a whole first, if it does not."""
-        last = {each.sender: each for each in self.verdicts()}
-        return sorted(each for each in last.values() if each.what != lag.WELL)
+        """Returns the current verdicts other than "well", with one on the whole fleet first."""
+        latest = {verdict.sender: verdict for verdict in self.verdicts()}
+        return sorted(verdict for verdict in latest.values() if verdict.what != lag.WELL)
 
     def timeline(self, from_ms: float = 0.0, to_ms: float | None = None) -> list[TimelineEvent]:
+        """Returns all events between two times, oldest first."""
         found = [
-            TimelineEvent(each.at_ms, "list service", "published", f"{each.version()} {each.ord}")
-            for each in self.published()
+            TimelineEvent(version.at_ms, "list service", "published", f"{version.version()} {version.ord}")
+            for version in self.published()
         ]
-        for sender, boot, at, life in self._rows("SELECT sender, boot, steady_ms, life FROM life"):
-            found.append(TimelineEvent(self.at(boot, at), sender, "began", f"life {life}"))
-        for sender, boot, at, life in self._rows(
+        for sender, boot, steady_ms, life in self._rows("SELECT sender, boot, steady_ms, life FROM life"):
+            found.append(TimelineEvent(self.at(boot, steady_ms), sender, "began", f"life {life}"))
+        for sender, boot, steady_ms, life in self._rows(
             "SELECT sender, boot, ended_ms, life FROM life WHERE ended_ms IS NOT NULL"
         ):
-            found.append(TimelineEvent(self.at(boot, at), sender, "ended", f"life {life}"))
-        for sender, boot, at, kind, origin, epoch, number, digest, order, source, taken in self._rows(
+            found.append(TimelineEvent(self.at(boot, steady_ms), sender, "ended", f"life {life}"))
+        for sender, boot, steady_ms, kind, origin, epoch, number, digest, order, source, taken in self._rows(
             "SELECT sender, boot, steady_ms, kind, origin, epoch, version, digest, ord, source, taken "
             "FROM adoption"
         ):
             found.append(
                 TimelineEvent(
-                    self.at(boot, at),
+                    self.at(boot, steady_ms),
                     sender,
                     "adopted" if taken else "did not take",
                     f"{kind} {Version(kind, origin, epoch, number, digest)} {order} from {source}",
                 )
             )
         found += [
-            TimelineEvent(each.at_ms, each.sender or "the fleet", "verdict", f"{each.what}: {each.evidence}")
-            for each in self.verdicts()
+            TimelineEvent(
+                verdict.at_ms, verdict.sender or "the fleet", "verdict", f"{verdict.what}: {verdict.evidence}"
+            )
+            for verdict in self.verdicts()
         ]
-        for each in self.unknown():
+        for period in self.unknown():
             found.append(
                 TimelineEvent(
-                    each.from_ms,
-                    each.sender,
+                    period.from_ms,
+                    period.sender,
                     "unknown",
-                    f"{each.why}, for {(each.to_ms - each.from_ms) / 1000.0:.1f} s",
+                    f"{period.why}, for {(period.to_ms - period.from_ms) / 1000.0:.1f} s",
                 )
             )
         found += [
-            TimelineEvent(each.at_ms, each.sender, "finding", f"{each.kind}: {each.detail}")
-            for each in self.findings()
+            TimelineEvent(finding.at_ms, finding.sender, "finding", f"{finding.kind}: {finding.detail}")
+            for finding in self.findings()
         ]
         to_ms = self.now if to_ms is None else to_ms
-        return sorted(each for each in found if from_ms <= each.at_ms <= to_ms)
+        return sorted(event for event in found if from_ms <= event.at_ms <= to_ms)
 
     def findings(self, grace_ms: float = 2000.0) -> list[Finding]:
+        """Returns the stored findings and those that follow from the present state.
+
+        grace_ms: how long after the removal of an endpoint calls to it are no finding.
+        """
         found = [Finding(*row) for row in self._rows("SELECT kind, sender, detail, at_ms FROM finding")]
         published = self.published()
-        digests = {(each.epoch, each.number, each.digest) for each in published}
-        numbers = {(each.epoch, each.number) for each in published}
-        for sender, epoch, number, digest, boot, at in self._rows(
+        digests = {(version.epoch, version.number, version.digest) for version in published}
+        numbers = {(version.epoch, version.number) for version in published}
+        for sender, epoch, number, digest, boot, steady_ms in self._rows(
             "SELECT sender, epoch, version, digest, boot, min(steady_ms) FROM adoption WHERE kind='list' "
             "AND taken GROUP BY sender, epoch, version, digest"
         ):
@@ -488,28 +570,30 @@
                         "contents differ",
                         sender,
                         f"list {number}@{digest[:8]} is not what the list service gave out under that number",
-                        self.at(boot, at),
+                        self.at(boot, steady_ms),
                     )
                 )
-        for each in self.status():
-            if each.answered_ms < 0.0 or each.answered_ms > self.silent:
-                found.append(Finding("silent", each.sender, f"{each.at} has not answered", self.now))
-            elif each.holds and each.behind and each.behind_ms > self.behind:
-                beats = ", its watch beats" if each.heard_ms < self.behind else ""
+        for status in self.status():
+            if status.answered_ms < 0.0 or status.answered_ms > self.silent:
+                found.append(Finding("silent", status.sender, f"{status.at} has not answered", self.now))
+            elif status.holds and status.behind and status.behind_ms > self.behind:
+                watch = ", its watch beats" if status.heard_ms < self.behind else ""
                 found.append(
                     Finding(
                         "behind",
-                        each.sender,
-                        f"acts on {each.list}, {each.behind} behind for "
-                        f"{each.behind_ms / 1000.0:.0f} s{beats}",
+                        status.sender,
+                        f"acts on {status.list}, {status.behind} behind for "
+                        f"{status.behind_ms / 1000.0:.0f} s{watch}",
                         self.now,
                     )
                 )
-        found += self._called_after_out(grace_ms)
+        found += self._called_after_removal(grace_ms)
         return sorted(found)
 
-    def _called_after_out(self, grace_ms: float) -> list[Finding]:
-        found, seen = [], set()
+    def _called_after_removal(self, grace_ms: float) -> list[Finding]:
+        """Returns a finding for each sender that called an endpoint after the first removal of it."""
+        found = []
+        seen = set()
         for number, epoch, endpoint in self._rows(
             "SELECT p.number, p.epoch, c.endpoint FROM change c JOIN published p ON p.id=c.published "
             "WHERE c.state IN ('leaving', 'left') ORDER BY p.id"
@@ -517,26 +601,27 @@
             if endpoint in seen:
                 continue
             seen.add(endpoint)
-            told = self.after(endpoint, number, epoch, grace_ms)
-            for sender in sorted({each.sender for each in told.calls}):
-                mine = [each for each in told.calls if each.sender == sender]
+            answer = self.after(endpoint, number, epoch, grace_ms)
+            for sender in sorted({call.sender for call in answer.calls}):
+                calls = [call for call in answer.calls if call.sender == sender]
                 found.append(
                     Finding(
                         "called after out",
                         sender,
-                        f"{len(mine)} calls to {endpoint}, out at list "
-                        f"{number}, up to {max(each.past_ms for each in mine) / 1000.0:.1f} s past "
+                        f"{len(calls)} calls to {endpoint}, out at list "
+                        f"{number}, up to {max(call.past_ms for call in calls) / 1000.0:.1f} s past "
                         "the grace",
-                        mine[0].at_ms,
+                        calls[0].at_ms,
                     )
                 )
         return found
 
 
 class Stores:
-    """One or several keepers' stores as one."""
+    """Queries on the stores of one or several collectors, merged into one answer."""
 
-    def __init__(self, paths: list[str], now_ms: float | None = None, **words: float) -> None:
+    def __init__(self, paths: list[str], now_ms: float | None = None, **options: float) -> None:
+        """Opens the stores; options are passed on to each Reader."""
         self.readers = []
         for path in paths:
             try:
@@ -544,104 +629,125 @@
                 db.execute("SELECT 1 FROM meta")
             except sqlite3.Error as problem:
                 raise AskError(f"{path}: {problem}") from problem
-            self.readers.append(Reader(db, time.time() * 1000.0 if now_ms is None else now_ms, **words))
+            self.readers.append(Reader(db, time.time() * 1000.0 if now_ms is None else now_ms, **options))
 
-    def _each(self, ask: Callable[[Reader], object]) -> list:
-        found, problem = [], None
+    def _each(self, query: Callable[[Reader], object]) -> list:
+        """Runs a query on every store and returns the answers; fails only where no store can answer."""
+        found = []
+        problem = None
         for reader in self.readers:
             try:
-                found.append(ask(reader))
-            except AskError as said:
-                problem = said
+                found.append(query(reader))
+            except AskError as error:
+                problem = error
         if not found:
             raise problem
         return found
 
     def acted(self, number: int, epoch: str | None = None) -> Acted:
-        told = self._each(lambda reader: reader.acted(number, epoch))
+        """Merges Reader.acted(): of one stretch, the answer with the most calls counts."""
+        answers = self._each(lambda reader: reader.acted(number, epoch))
         best: dict[tuple, Stretch] = {}
-        for each in (stretch for answer in told for stretch in answer.stretches):
-            key = each.sender, each.life, each.digest, round(each.from_ms / 1000.0)
-            had = best.get(key)
-            if had is None or (each.calls, each.to_ms) > (had.calls, had.to_ms):
-                best[key] = each
-        return Acted(sorted(best.values()), both([answer.unknown for answer in told]))
-
-    def _together(self, told: list[Calls]) -> Calls:
+        for stretch in (stretch for answer in answers for stretch in answer.stretches):
+            key = stretch.sender, stretch.life, stretch.digest, round(stretch.from_ms / 1000.0)
+            known = best.get(key)
+            if known is None or (stretch.calls, stretch.to_ms) > (known.calls, known.to_ms):
+                best[key] = stretch
+        return Acted(sorted(best.values()), both([answer.unknown for answer in answers]))
+
+    def _merge_calls(self, answers: list[Calls]) -> Calls:
+        """Merges calls: each counts once, and is known if any store has it.
+
+        A document may go to one endpoint more than once, so calls are told apart by their ordinal too.
+        """
         best: dict[tuple, Call] = {}
-        many: dict[tuple, int] = {}
-        for answer in told:
-            here: dict[tuple, int] = {}
-            for each in answer.calls:  # a document may go to one endpoint twice: the how-manieth counts
-                key = each.sender, each.life, each.doc, each.endpoint
-                here[key] = here.get(key, 0) + 1
-                if here[key] > many.get(key, 0):
-                    best[(*key, here[key])] = each
-            for key, count in here.items():
-                many[key] = max(many.get(key, 0), count)
+        counts: dict[tuple, int] = {}
+        for answer in answers:
+            answer_counts: dict[tuple, int] = {}
+            for call in answer.calls:
+                key = call.sender, call.life, call.doc, call.endpoint
+                answer_counts[key] = answer_counts.get(key, 0) + 1
+                if answer_counts[key] > counts.get(key, 0):
+                    best[(*key, answer_counts[key])] = call
+            for key, count in answer_counts.items():
+                counts[key] = max(counts.get(key, 0), count)
         return Calls(
             sorted(best.values()),
-            both([answer.unknown for answer in told]),
-            min(answer.out_ms for answer in told),
-            max(answer.in_ms for answer in told),
+            both([answer.unknown for answer in answers]),
+            min(answer.out_ms for answer in answers),
+            max(answer.in_ms for answer in answers),
         )
 
     def after(self, endpoint: str, out_at: int, epoch: str | None = None, grace_ms: float = 0.0) -> Calls:
-        return self._together(self._each(lambda reader: reader.after(endpoint, out_at, epoch, grace_ms)))
+        """Merges Reader.after()."""
+        return self._merge_calls(self._each(lambda reader: reader.after(endpoint, out_at, epoch, grace_ms)))
 
     def document(self, doc: str) -> Calls:
-        return self._together(self._each(lambda reader: reader.document(doc)))
+        """Merges Reader.document()."""
+        return self._merge_calls(self._each(lambda reader: reader.document(doc)))
 
     def late(self, number: int, epoch: str | None = None, slack_ms: float = SLACK_MS) -> Calls:
-        return self._together(self._each(lambda reader: reader.late(number, epoch, slack_ms)))
+        """Merges Reader.late()."""
+        return self._merge_calls(self._each(lambda reader: reader.late(number, epoch, slack_ms)))
 
     def status(self) -> list[Sender]:
+        """Merges Reader.status(): of each address, the most recent answer counts."""
         best: dict[tuple, Sender] = {}
-        for each in (row for rows in self._each(lambda reader: reader.status()) for row in rows):
-            had = best.get((each.sender, each.at))
-            if had is None or had.answered_ms < 0.0 or 0.0 <= each.answered_ms < had.answered_ms:
-                best[each.sender, each.at] = each
+        for sender in (row for rows in self._each(lambda reader: reader.status()) for row in rows):
+            known = best.get((sender.sender, sender.at))
+            if known is None or known.answered_ms < 0.0 or 0.0 <= sender.answered_ms < known.answered_ms:
+                best[sender.sender, sender.at] = sender
         return sorted(best.values())
 
     def stragglers(self) -> list[Verdict]:
-        """A sender is one where any keeper that is not itself cut off says so."""
-        told = self._each(lambda reader: reader.stragglers())
-        sound = [
-            rows
-            for rows in told
-            if not any(each.sender == "" and each.what == lag.KEEPER_CUT_OFF for each in rows)
-        ] or told
-        return sorted({(each.sender, each.what): each for rows in sound for each in rows}.values())
+        """Merges Reader.stragglers(): the verdicts of collectors that are themselves cut off do not count.
+
+        If all collectors are cut off, all verdicts count.
+        """
+        answers = self._each(lambda reader: reader.stragglers())
+        connected = [
+            verdicts
+            for verdicts in answers
+            if not any(verdict.sender == "" and verdict.what == lag.KEEPER_CUT_OFF for verdict in verdicts)
+        ] or answers
+        return sorted(
+            {
+                (verdict.sender, verdict.what): verdict for verdicts in connected for verdict in verdicts
+            }.values()
+        )
 
     def timeline(self, from_ms: float = 0.0, to_ms: float | None = None) -> list[TimelineEvent]:
+        """Merges Reader.timeline(): an event that several stores have is returned once."""
         seen: dict[tuple, TimelineEvent] = {}
-        for each in (
+        for event in (
             row for rows in self._each(lambda reader: reader.timeline(from_ms, to_ms)) for row in rows
         ):
-            seen.setdefault((each.sender, each.what, each.detail), each)
+            seen.setdefault((event.sender, event.what, event.detail), event)
         return sorted(seen.values())
 
     def findings(self, grace_ms: float = 2000.0) -> list[Finding]:
+        """Merges Reader.findings(): a finding that several stores have is returned once."""
         seen: dict[tuple, Finding] = {}
-        for each in (row for rows in self._each(lambda reader: reader.findings(grace_ms)) for row in rows):
-            seen.setdefault((each.kind, each.sender, each.detail), each)
+        for finding in (row for rows in self._each(lambda reader: reader.findings(grace_ms)) for row in rows):
+            seen.setdefault((finding.kind, finding.sender, finding.detail), finding)
         return sorted(seen.values())
 
 
 def both(told: list[list[Unknown]]) -> list[Unknown]:
-    """What every one of them does not know: for each sender, the times that are unknown in all."""
-    left = told[0]
-    for more in told[1:]:
-        left = [
+    """Returns for each sender the periods that are unknown in every one of the answers."""
+    common = told[0]
+    for other in told[1:]:
+        common = [
             Unknown(
-                a.sender,
-                max(a.from_ms, b.from_ms),
-                min(a.to_ms, b.to_ms),
-                a.why,
-                a.calls if a.calls == b.calls else -1,
+                first.sender,
+                max(first.from_ms, second.from_ms),
+                min(first.to_ms, second.to_ms),
+                first.why,
+                first.calls if first.calls == second.calls else -1,
             )
-            for a in left
-            for b in more
-            if a.sender == b.sender and max(a.from_ms, b.from_ms) < min(a.to_ms, b.to_ms)
+            for first in common
+            for second in other
+            if first.sender == second.sender
+            and max(first.from_ms, second.from_ms) < min(first.to_ms, second.to_ms)
         ]
-    return sorted(set(left))
+    return sorted(set(common))
--- a/birchstack/keeper/relay.py
+++ b/birchstack/keeper/relay.py
@@ -1,7 +1,8 @@
-"""Passes the senders' signals on: what each answer brings is merged, the next question takes the rest along.
+"""Relays signals between senders: merges those in each answer and sends them on in the next questions.
 
-Owns what each door was told and what was taken there. Must never open a socket, read a clock or decide about
-an endpoint. Only doors that offer signals are asked for them. Times are steady, in milliseconds.
+Owns what was delivered to each sender and what was received from it. Must not open a socket, read a clock or
+make decisions about an endpoint. Only senders that offer signals are asked for them. Times are steady-clock
+milliseconds.
 """
 
 from __future__ import annotations
@@ -21,7 +22,14 @@
 
 @dataclass(slots=True)
 class Reader:
-    """One process behind a door. told: the news that it was told of; asked: those under way to it."""
+    """Relay state of one sender process.
+
+    life: identifier of the process, new with each start.
+    clock_ms, came_ms: the sender's steady clock in its last answer, and when that answer arrived here.
+    taken: the last sequences received from it.
+    told: the sequences up to which evidence was delivered to it.
+    asked: the same for the evidence of the question in flight.
+    """
 
     life: str
     clock_ms: float = 0.0
@@ -32,35 +40,39 @@
 
 
 class Relay:
-    """room: bytes of evidence in one question."""
+    """Exchanges signals with all senders of one collector."""
 
     def __init__(self, room: int) -> None:
-        self._room = room
+        """room: maximum size in bytes of the evidence in one question."""
+        self._max_evidence_bytes = room
         self.board = Board()
-        self._readers: dict[str, Reader] = {}
+        self._senders: dict[str, Reader] = {}
         self.counts = {"signals": 0, "signals_refused": 0}
 
     def question(self, door: str, now_ms: float) -> bytes | None:
-        """What to ask a door with; None where it takes no part."""
-        reader = self._readers.get(door)
-        if reader is None:
+        """Returns the encoded question for an address; None where the sender does not take part."""
+        state = self._senders.get(door)
+        if state is None:
             return None
-        evidence, reader.asked = self.board.news(reader.told, now_ms, self._room)
+        evidence, state.asked = self.board.news(state.told, now_ms, self._max_evidence_bytes)
         return model.encode(
-            Question(
-                model.VERSION, reader.taken, reader.life, reader.clock_ms, now_ms - reader.came_ms, evidence
-            )
+            Question(model.VERSION, state.taken, state.life, state.clock_ms, now_ms - state.came_ms, evidence)
         )
 
     def answered(self, door: str, sender: str, piece: wire.Piece, asked_ms: float, now_ms: float) -> None:
-        """sender: whom the door belongs to. What was long on its way, or not readable, is asked for again."""
+        """Merges the signals of an answer.
+
+        sender: the configured owner of the address; an answer under another name is ignored. Signals that
+        were too long in transit or cannot be decoded are not acknowledged, so the sender repeats them.
+        """
         if piece.name != sender or not piece.signals:
-            self._readers.pop(door, None)
+            self._senders.pop(door, None)
             return
-        reader = self._readers.get(door)
-        if reader is None or reader.life != piece.process:
-            reader = self._readers[door] = Reader(piece.process)
-        reader.clock_ms, reader.came_ms = piece.steady_ms, now_ms
+        state = self._senders.get(door)
+        if state is None or state.life != piece.process:
+            state = self._senders[door] = Reader(piece.process)
+        state.clock_ms = piece.steady_ms
+        state.came_ms = now_ms
         if now_ms - asked_ms > MOST_DELAY_MS:
             return
         try:
@@ -71,13 +83,13 @@
                 say(log, "signals not readable", logging.WARNING, sender=sender, problem=problem)
             return
         if batch.heard:
-            reader.told = reader.asked
+            state.told = state.asked
         self.counts["signals"] += self.board.merge(sender, batch, now_ms)
-        reader.taken = _taken(reader.taken, batch)
+        state.taken = _latest(state.taken, batch)
 
 
-def _taken(before: Sequences, batch: SignalBatch) -> Sequences:
-    """The last sequence of each kind that was had."""
+def _latest(before: Sequences, batch: SignalBatch) -> Sequences:
+    """Returns the highest sequence received of each kind."""
     last = [*before]
     for signal in batch.signals:
         last[signal.kind - 1] = max(last[signal.kind - 1], signal.sequence)
--- a/birchstack/keeper/store.py
+++ b/birchstack/keeper/store.py
@@ -1,7 +1,7 @@
-"""The keeper's store: records of trails taken once, and what they come to.
+"""The collector's store: stores each audit record exactly once and derives the tables from it.
 
-Owns what is taken from each door, and the way from records to tables (keeper.tables). Must never ask anybody.
-A door's place (what to ask for next) moves in the same transaction as the records that came before it.
+Owns the cursor of each polled address and the mapping from records to tables (keeper.tables). Must not poll
+senders. An address's cursor advances in the same transaction as the records that precede it.
 """
 
 from __future__ import annotations
@@ -32,64 +32,88 @@
 
 @dataclass(slots=True)
 class Place:
-    """What was taken from one door, and what comes next there."""
-
-    trail: int = 0  # the branch
-    name: str = ""  # of the trail
+    """Cursor of one polled address: what was read from it, and the next record to read.
+
+    trail: id of the branch in table `trail`.
+    name: name of the trail.
+    next: number of the next record.
+    chain: hash chain value of the last record read.
+    state: sender's state after that record.
+    last_ms: time of that record, by the steady clock of its boot.
+    looking: the trail is being read again from its start, to find where it forked.
+    lost: the sender that lost its folder, and the time up to which its previous trail is known.
+    """
+
+    trail: int = 0
+    name: str = ""
     next: int = 1
     chain: bytes = START
     state: State = field(default_factory=State)
     last_ms: float = 0.0
-    looking: bool = False  # reading from the start, for where a trail forked
-    lost: tuple[str, float] | None = None  # a sender, and since when nothing is known of a folder it lost
+    looking: bool = False
+    lost: tuple[str, float] | None = None
 
     def begin(self, looking: bool) -> None:
-        self.next, self.chain, self.state, self.last_ms, self.looking = 1, START, State(), 0.0, looking
+        """Moves the cursor back to the start of the trail."""
+        self.next = 1
+        self.chain = START
+        self.state = State()
+        self.last_ms = 0.0
+        self.looking = looking
 
 
 class Store(Tables):
-    """What trails come to, in tables."""
+    """Stores the audit trails of all senders as tables."""
 
     def _clear(self) -> None:
-        """What is remembered of the tables; read anew after a rollback."""
+        """Drops buffered rows and cached rows; the caches are filled again from the tables."""
         self.places: dict[str, Place] = {}
-        self._stretches: dict[tuple[int, int], int] = {}
+        self._stretch_ids: dict[tuple[int, int], int] = {}
         self._tallies: dict[tuple[int, str], list] = {}
-        self._sums: dict[int, list] = {}  # by stretch: calls, rejected, abandoned, to_ms
+        self._totals: dict[int, list] = {}  # by stretch: calls, rejected, abandoned, to_ms
         self._calls: list[tuple] = []
         self._records: list[tuple] = []
         self._clocks: dict[str, tuple[float, float]] = {}
-        self._tips: dict[str, int] = {}
+        self._last_numbers: dict[str, int] = {}
 
     def _flush(self) -> None:
-        run = self.db.executemany
-        run("INSERT INTO record VALUES(?, ?, ?)", self._records)
-        run("INSERT INTO call VALUES(?, ?, ?, ?)", self._calls)
-        run(
+        """Writes the buffered records, calls and counters."""
+        execute = self.db.executemany
+        execute("INSERT INTO record VALUES(?, ?, ?)", self._records)
+        execute("INSERT INTO call VALUES(?, ?, ?, ?)", self._calls)
+        execute(
             "INSERT INTO tally VALUES(?, ?, ?, ?, ?) ON CONFLICT DO UPDATE SET calls=calls+excluded.calls, "
             "last_ms=excluded.last_ms",
-            [(*key, *words) for key, words in self._tallies.items()],
+            [(*key, *tally) for key, tally in self._tallies.items()],
         )
-        run(
+        execute(
             "UPDATE stretch SET calls=calls+?, rejected=rejected+?, abandoned=abandoned+?, "
             "to_ms=max(to_ms, ?) WHERE id=?",
-            [(*words, key) for key, words in self._sums.items()],
+            [(*totals, key) for key, totals in self._totals.items()],
         )
-        for each in (self._records, self._calls, self._tallies, self._sums):
-            each.clear()
+        for buffer in (self._records, self._calls, self._tallies, self._totals):
+            buffer.clear()
 
-    def _keep_places(self) -> None:
+    def _write_cursors(self) -> None:
         self.db.executemany(
             "UPDATE door SET trail=?, next=?, chain=?, state=?, last_ms=? WHERE at=?",
             [
-                (each.trail, each.next, each.chain, msgspec.msgpack.encode(each.state), each.last_ms, at)
-                for at, each in self.places.items()
+                (
+                    cursor.trail,
+                    cursor.next,
+                    cursor.chain,
+                    msgspec.msgpack.encode(cursor.state),
+                    cursor.last_ms,
+                    address,
+                )
+                for address, cursor in self.places.items()
             ],
         )
 
-    # Doors
+    # Polled addresses
 
     def place(self, at: str) -> Place:
+        """Returns the cursor of an address; one that is new starts at the first record."""
         if at not in self.places:
             row = self.db.execute(
                 "SELECT trail, next, chain, state, last_ms FROM door WHERE at=?", (at,)
@@ -106,183 +130,202 @@
         return self.places[at]
 
     def wanted(self, at: str) -> int:
-        """The number after which this door is asked."""
+        """Returns the record number after which the next poll of an address continues."""
         return self.place(at).next - 1
 
     def take(self, at: str, piece: wire.Piece, now_ms: float, error_ms: float) -> bool:
-        """What a door answered; now_ms: the keeper's time at which the sender spoke, good to error_ms.
-        True: there is more to ask for at once."""
-        place = self.place(at)
+        """Stores the records of an answer; returns True where the address should be polled again at once.
+
+        now_ms: the collector's time at which the sender answered, with an error of at most error_ms.
+        """
+        cursor = self.place(at)
         self._begin()
-        self._clock(piece, now_ms, error_ms)
+        self._update_clock(piece, now_ms, error_ms)
         if not piece.holds:
-            self._door(at, piece, now_ms, None)
+            self._update_door(at, piece, now_ms, None)
             return False
-        if piece.trail != place.name:
-            asked = place.next
-            self._other_trail(place, piece, now_ms)
-            if asked > 1:  # what came is not the new trail's beginning
+        if piece.trail != cursor.name:
+            requested = cursor.next
+            self._switch_trail(cursor, piece, now_ms)
+            if requested > 1:  # the answer does not begin at the first record of the new trail
                 return True
-        if piece.last < place.next - 1 or (
-            piece.last == place.next - 1 and piece.chain != place.chain and piece.last and not place.looking
+        if piece.last < cursor.next - 1 or (
+            piece.last == cursor.next - 1
+            and piece.chain != cursor.chain
+            and piece.last
+            and not cursor.looking
         ):
-            self._look(place, piece, now_ms)
+            self._rescan(cursor, piece, now_ms)
             return True
-        before: Frame | None = None
-        for each in scan(piece.frames):
-            if not isinstance(each, Frame):
+        previous: Frame | None = None
+        for frame in scan(piece.frames):
+            if not isinstance(frame, Frame):
                 self.found("answer spoilt", piece.name, f"{at}: bytes that are no record", now_ms)
                 break
-            if not self._take(place, each, before, piece, now_ms):
+            if not self._ingest(cursor, frame, previous, piece, now_ms):
                 return True
-            before = each
-        done = place.next > piece.last
-        if done:
-            place.looking = False
-        # a sender that loses records just now has said nothing of what it does meanwhile
-        self._door(at, piece, now_ms, piece.steady_ms if done and not piece.failing else None)
-        return not done
-
-    def _clock(self, piece: wire.Piece, now_ms: float, error_ms: float) -> None:
-        had = self._clocks.get(piece.boot)
-        if had is None:
+            previous = frame
+        complete = cursor.next > piece.last
+        if complete:
+            cursor.looking = False
+        # while a sender is losing records, an answer tells nothing about what it does meanwhile
+        self._update_door(at, piece, now_ms, piece.steady_ms if complete and not piece.failing else None)
+        return not complete
+
+    def _update_clock(self, answer: wire.Piece, now_ms: float, error_ms: float) -> None:
+        """Stores the clock offset of the sender's boot if it is more accurate than the known one."""
+        known = self._clocks.get(answer.boot)
+        if known is None:
             row = self.db.execute(
-                "SELECT offset_ms, error_ms FROM clock WHERE boot=?", (piece.boot,)
+                "SELECT offset_ms, error_ms FROM clock WHERE boot=?", (answer.boot,)
             ).fetchone()
-            had = self._clocks[piece.boot] = row or (0.0, 1e12)
-        if error_ms < had[1]:
-            self._clocks[piece.boot] = now_ms - piece.steady_ms, error_ms
+            known = self._clocks[answer.boot] = row or (0.0, 1e12)
+        if error_ms < known[1]:
+            self._clocks[answer.boot] = now_ms - answer.steady_ms, error_ms
             self.db.execute(
                 "INSERT OR REPLACE INTO clock VALUES(?, ?, ?)",
-                (piece.boot, now_ms - piece.steady_ms, error_ms),
+                (answer.boot, now_ms - answer.steady_ms, error_ms),
             )
 
-    def _door(self, at: str, piece: wire.Piece, now_ms: float, complete_ms: float | None) -> None:
-        kept = wire.encode(msgspec.structs.replace(piece, frames=b""))
+    def _update_door(
+        self, address: str, answer: wire.Piece, now_ms: float, complete_ms: float | None
+    ) -> None:
+        """Stores the last answer of an address without its records.
+
+        complete_ms: the sender's time up to which all its records are stored; None leaves the known one.
+        """
+        encoded = wire.encode(msgspec.structs.replace(answer, frames=b""))
         self.db.execute(
             "UPDATE door SET sender=?, process=?, boot=?, answered_ms=?, piece=?, "
             "complete_ms=coalesce(?, complete_ms) WHERE at=?",
-            (piece.name, piece.process, piece.boot, now_ms, kept, complete_ms, at),
+            (answer.name, answer.process, answer.boot, now_ms, encoded, complete_ms, address),
         )
 
-    def _other_trail(self, place: Place, piece: wire.Piece, now_ms: float) -> None:
-        """This door keeps another trail than before: a new folder, or another sender's."""
-        mine = [
+    def _switch_trail(self, cursor: Place, answer: wire.Piece, now_ms: float) -> None:
+        """Starts reading another trail: the sender has a new folder, or another sender answers."""
+        previous_trails = [
             name
             for (name,) in self.db.execute(
                 "SELECT DISTINCT t.name FROM life l JOIN trail t ON t.id=l.trail WHERE l.sender=?",
-                (piece.name,),
+                (answer.name,),
             )
         ]
-        known = self.db.execute("SELECT min(id) FROM trail WHERE name=?", (piece.trail,)).fetchone()[0]
-        if mine and piece.trail not in mine:
+        branch = self.db.execute("SELECT min(id) FROM trail WHERE name=?", (answer.trail,)).fetchone()[0]
+        if previous_trails and answer.trail not in previous_trails:
             row = self.db.execute(
-                "SELECT max(complete_ms) FROM door WHERE sender=? AND boot=?", (piece.name, piece.boot)
+                "SELECT max(complete_ms) FROM door WHERE sender=? AND boot=?", (answer.name, answer.boot)
             ).fetchone()
-            place.lost = piece.name, row[0] or 0.0
+            cursor.lost = answer.name, row[0] or 0.0
             self.found(
                 "folder lost",
-                piece.name,
-                f"goes on with trail {piece.trail}; what {mine[-1]} held and "
+                answer.name,
+                f"goes on with trail {answer.trail}; what {previous_trails[-1]} held and "
                 "no keeper had taken is not known",
                 now_ms,
             )
-        if known is None:
-            known = self.db.execute("INSERT INTO trail(name, first) VALUES(?, 1)", (piece.trail,)).lastrowid
-        place.trail, place.name = known, piece.trail
-        place.begin(looking=False)
-
-    def _look(self, place: Place, piece: wire.Piece, now_ms: float) -> None:
-        """The trail does not go on from what was taken: read from its start, to find where it forked."""
-        if piece.last < place.next - 1:
+        if branch is None:
+            branch = self.db.execute("INSERT INTO trail(name, first) VALUES(?, 1)", (answer.trail,)).lastrowid
+        cursor.trail = branch
+        cursor.name = answer.trail
+        cursor.begin(looking=False)
+
+    def _rescan(self, cursor: Place, answer: wire.Piece, now_ms: float) -> None:
+        """Reads the trail again from its start: it does not continue from the records already stored.
+
+        The first record that differs shows where the trail forked.
+        """
+        if answer.last < cursor.next - 1:
             self.found(
                 "trail went back",
-                piece.name,
-                f"trail {place.name} ended at {place.next - 1} and now "
-                f"ends at {piece.last} in life {piece.life}",
+                answer.name,
+                f"trail {cursor.name} ended at {cursor.next - 1} and now "
+                f"ends at {answer.last} in life {answer.life}",
                 now_ms,
             )
-        place.begin(looking=True)
+        cursor.begin(looking=True)
 
     # Records
 
-    def _take(
-        self, place: Place, frame: Frame, before: Frame | None, piece: wire.Piece, now_ms: float
+    def _ingest(
+        self, cursor: Place, frame: Frame, previous: Frame | None, answer: wire.Piece, now_ms: float
     ) -> bool:
-        """One frame; False: read from the start instead."""
+        """Stores one frame and advances the cursor; returns False where the trail must be read again."""
         number = frame.number
-        if number < place.next:
+        if number < cursor.next:
             return True
         try:
             record = frame.record()
         except msgspec.DecodeError as problem:
             self.found(
-                "record not readable", piece.name, f"trail {place.name} record {number}: {problem}", now_ms
+                "record not readable", answer.name, f"trail {cursor.name} record {number}: {problem}", now_ms
             )
-            record = Gap(place.last_ms, place.last_ms, "a record of a form this keeper does not read")
+            record = Gap(cursor.last_ms, cursor.last_ms, "a record of a form this keeper does not read")
         if isinstance(record, Folded):
-            self._folded(place, record)
+            self._add_folded(cursor, record)
             return True
-        if number > place.next:
-            self._gap(
-                place,
+        if number > cursor.next:
+            self._add_gap(
+                cursor,
                 Gap(
-                    place.last_ms,
-                    time_of(record) or place.last_ms,
-                    f"records {place.next} to {number - 1} are not there",
+                    cursor.last_ms,
+                    time_of(record) or cursor.last_ms,
+                    f"records {cursor.next} to {number - 1} are not there",
                 ),
                 now_ms,
             )
-        elif not frame.follows(place.chain):
-            if before is None and not place.looking and place.next > 1:
-                self._look(place, piece, now_ms)
+        elif not frame.follows(cursor.chain):
+            if previous is None and not cursor.looking and cursor.next > 1:
+                self._rescan(cursor, answer, now_ms)
                 return False
             self.found(
                 "altered",
-                piece.name,
-                f"trail {place.name}: record {number} does not follow {number - 1}",
+                answer.name,
+                f"trail {cursor.name}: record {number} does not follow {number - 1}",
                 now_ms,
             )
-        if not self._have(place, frame, piece, now_ms):
-            self._keep(place, frame, record, now_ms)
-        place.state = after(place.state, number, record)
-        place.next, place.chain = number + 1, frame.chain
-        place.last_ms = time_of(record) or place.last_ms
+        if not self._is_stored(cursor, frame, answer, now_ms):
+            self._store_record(cursor, frame, record, now_ms)
+        cursor.state = after(cursor.state, number, record)
+        cursor.next = number + 1
+        cursor.chain = frame.chain
+        cursor.last_ms = time_of(record) or cursor.last_ms
         return True
 
-    def _have(self, place: Place, frame: Frame, piece: wire.Piece, now_ms: float) -> bool:
-        """True if this record was taken before, from whichever door. Another record under its number is a
-        fork: what comes now is kept as a branch of its own."""
-        if frame.number > self._tip(place.name):
+    def _is_stored(self, cursor: Place, frame: Frame, answer: wire.Piece, now_ms: float) -> bool:
+        """Tells whether the record is stored already, from whichever address it came.
+
+        Another record under the same number is a fork: what follows is stored as a branch of its own.
+        """
+        if frame.number > self._last_number(cursor.name):
             return False
-        rows = self._rows(place.name, frame.number)
+        rows = self._records_numbered(cursor.name, frame.number)
         for branch, chain in rows:
             if chain == frame.chain:
-                place.trail = branch
+                cursor.trail = branch
                 return True
-        if place.trail in [branch for branch, _ in rows]:
+        if cursor.trail in [branch for branch, _ in rows]:
             names = {
                 row[0]
                 for row in self.db.execute(
                     "SELECT DISTINCT l.sender FROM life l JOIN trail t ON t.id=l.trail WHERE t.name=?",
-                    (place.name,),
+                    (cursor.name,),
                 )
-            } | {piece.name}
+            } | {answer.name}
             kind = "cloned folder" if len(names) > 1 else "fork"
             self.found(
                 kind,
-                piece.name,
-                f"trail {place.name} goes two ways from record {frame.number} ({', '.join(sorted(names))})",
+                answer.name,
+                f"trail {cursor.name} goes two ways from record {frame.number} ({', '.join(sorted(names))})",
                 now_ms,
             )
-            place.trail = self.db.execute(
+            cursor.trail = self.db.execute(
                 "INSERT INTO trail(name, parent, first) VALUES(?, ?, ?)",
-                (place.name, place.trail, frame.number),
+                (cursor.name, cursor.trail, frame.number),
             ).lastrowid
         return False
 
-    def _rows(self, name: str, number: int) -> list[tuple[int, bytes]]:
-        """The records of that number: branch and chain."""
+    def _records_numbered(self, name: str, number: int) -> list[tuple[int, bytes]]:
+        """Returns branch and chain of each stored record with this number in any branch of a trail."""
         if self._records:
             self._flush()
         return self.db.execute(
@@ -291,116 +334,127 @@
             (name, number),
         ).fetchall()
 
-    def _tip(self, name: str) -> int:
-        """The highest number taken in any branch of a trail."""
-        if name not in self._tips:
-            self._tips[name] = self.db.execute(
+    def _last_number(self, name: str) -> int:
+        """Returns the highest record number stored in any branch of a trail."""
+        if name not in self._last_numbers:
+            self._last_numbers[name] = self.db.execute(
                 "SELECT coalesce(max(r.number), 0) FROM record r JOIN trail t ON t.id=r.trail WHERE t.name=?",
                 (name,),
             ).fetchone()[0]
-        return self._tips[name]
+        return self._last_numbers[name]
 
-    def _keep(self, place: Place, frame: Frame, record: Record, now_ms: float) -> None:
-        trail, number, state = place.trail, frame.number, place.state
-        self._records.append((trail, number, frame.chain))
-        self._tips[place.name] = max(self._tip(place.name), number)
+    def _store_record(self, cursor: Place, frame: Frame, record: Record, now_ms: float) -> None:
+        """Buffers a new record and updates the tables that are derived from it."""
+        branch = cursor.trail
+        number = frame.number
+        state = cursor.state
+        self._records.append((branch, number, frame.chain))
+        self._last_numbers[cursor.name] = max(self._last_number(cursor.name), number)
         if isinstance(record, Acted):
-            self._acted(self._stretch(trail, state), record)
+            self._add_calls(self._stretch_id(branch, state), record)
         elif isinstance(record, Adopted):
-            self._adopted(place, number, record, now_ms)
+            self._add_adoption(cursor, number, record, now_ms)
         elif isinstance(record, Life):
-            self._lived(place, number, record, now_ms)
+            self._add_life(cursor, number, record, now_ms)
         elif isinstance(record, Ended):
-            self._close(trail, state, record.steady_ms)
+            self._end_stretch(branch, state, record.steady_ms)
             self.db.execute(
-                "UPDATE life SET ended_ms=? WHERE trail=? AND life=?", (record.steady_ms, trail, state.life)
+                "UPDATE life SET ended_ms=? WHERE trail=? AND life=?", (record.steady_ms, branch, state.life)
             )
         elif isinstance(record, Gap):
-            self._gap(place, record, now_ms)
+            self._add_gap(cursor, record, now_ms)
 
-    def _stretch(self, trail: int, state: State) -> int:
-        key = trail, state.stretch
-        if key not in self._stretches:
+    def _stretch_id(self, branch: int, state: State) -> int:
+        """Returns the row id of the stretch that the state is in, and creates the row if it is missing."""
+        key = branch, state.stretch
+        if key not in self._stretch_ids:
             row = self.db.execute("SELECT id FROM stretch WHERE trail=? AND number=?", key).fetchone()
-            self._stretches[key] = row[0] if row else self._new_stretch(trail, state)
-        return self._stretches[key]
+            self._stretch_ids[key] = row[0] if row else self._insert_stretch(branch, state)
+        return self._stretch_ids[key]
 
-    def _new_stretch(self, trail: int, state: State) -> int:
-        held = state.versions.get(LIST)
+    def _insert_stretch(self, branch: int, state: State) -> int:
+        list_version = state.versions.get(LIST)
         return self.db.execute(
             "INSERT INTO stretch(trail, number, sender, life, boot, epoch, list, digest, versions, from_ms, "
             "to_ms) VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
-                trail,
+                branch,
                 state.stretch,
                 state.name,
                 state.life,
                 state.boot,
-                held.epoch if held else None,
-                held.number if held else None,
-                held.digest if held else None,
+                list_version.epoch if list_version else None,
+                list_version.number if list_version else None,
+                list_version.digest if list_version else None,
                 msgspec.msgpack.encode(state.versions),
                 state.from_ms,
                 state.from_ms,
             ),
         ).lastrowid
 
-    def _acted(self, stretch: int, record: Acted) -> None:
-        now, calls = record.steady_ms, record.calls
+    def _add_calls(self, stretch: int, record: Acted) -> None:
+        """Buffers the calls of one record and adds them to the counters of their stretch."""
+        at_ms = record.steady_ms
+        calls = record.calls
         for doc, endpoint in zip(calls[::2], calls[1::2], strict=True):
-            self._calls.append((doc, stretch, endpoint, now))
-            had = self._tallies.get((stretch, endpoint))
-            if had:
-                had[0], had[2] = had[0] + 1, now
+            self._calls.append((doc, stretch, endpoint, at_ms))
+            tally = self._tallies.get((stretch, endpoint))
+            if tally:
+                tally[0] += 1
+                tally[2] = at_ms
             else:
-                self._tallies[stretch, endpoint] = [1, now, now]
-        self._calls += [(doc, stretch, None, now) for doc in record.abandoned]
-        sums = self._sums.setdefault(stretch, [0, 0, 0, now])
-        sums[0] += len(calls) // 2
-        sums[1] += record.rejected
-        sums[2] += len(record.abandoned)
-        sums[3] = max(sums[3], now)
-
-    def _close(self, trail: int, state: State, now: float) -> None:
-        """A stretch lasts until its process adopts something else, or ends."""
+                self._tallies[stretch, endpoint] = [1, at_ms, at_ms]
+        self._calls += [(doc, stretch, None, at_ms) for doc in record.abandoned]
+        totals = self._totals.setdefault(stretch, [0, 0, 0, at_ms])
+        totals[0] += len(calls) // 2
+        totals[1] += record.rejected
+        totals[2] += len(record.abandoned)
+        totals[3] = max(totals[3], at_ms)
+
+    def _end_stretch(self, branch: int, state: State, at_ms: float) -> None:
+        """Ends the current stretch: the process adopted another version, or ended."""
         if state.stretch:
-            self._sums.setdefault(self._stretch(trail, state), [0, 0, 0, now])[3] = now
+            self._totals.setdefault(self._stretch_id(branch, state), [0, 0, 0, at_ms])[3] = at_ms
 
-    def _lived(self, place: Place, number: int, record: Life, now_ms: float) -> None:
+    def _add_life(self, cursor: Place, number: int, record: Life, now_ms: float) -> None:
+        """Stores the start of a process; reports a lost folder, a changed name and a stepped clock."""
         self.db.execute(
             "INSERT OR IGNORE INTO life VALUES(?, ?, ?, ?, ?, ?, ?, NULL)",
-            (place.trail, number, record.life, record.name, record.boot, record.wall_ms, record.steady_ms),
+            (cursor.trail, number, record.life, record.name, record.boot, record.wall_ms, record.steady_ms),
         )
-        self._stretch(place.trail, after(place.state, number, record))
-        if place.lost and place.lost[0] == record.name:
-            (_, since), place.lost = place.lost, None
-            held = Place(place.trail, place.name, state=after(place.state, number, record))
-            self._gap(held, Gap(since, record.steady_ms, "the folder was lost"), now_ms)
-        before = place.state.name
-        if before and before != record.name:
+        self._stretch_id(cursor.trail, after(cursor.state, number, record))
+        if cursor.lost and cursor.lost[0] == record.name:
+            _, since_ms = cursor.lost
+            cursor.lost = None
+            started = Place(cursor.trail, cursor.name, state=after(cursor.state, number, record))
+            self._add_gap(started, Gap(since_ms, record.steady_ms, "the folder was lost"), now_ms)
+        previous_name = cursor.state.name
+        if previous_name and previous_name != record.name:
             self.found(
                 "another name",
                 record.name,
-                f"trail {place.name} was {before}'s up to record {number - 1}",
+                f"trail {cursor.name} was {previous_name}'s up to record {number - 1}",
                 now_ms,
             )
-        self._wall(place, record.boot, record.wall_ms, record.steady_ms, record.name, now_ms)
+        self._check_wall_clock(cursor, record.boot, record.wall_ms, record.steady_ms, record.name, now_ms)
 
-    def _adopted(self, place: Place, number: int, record: Adopted, now_ms: float) -> None:
-        state, told = place.state, record.version
+    def _add_adoption(self, cursor: Place, number: int, record: Adopted, now_ms: float) -> None:
+        """Stores that a version was adopted or refused; one that was adopted begins a new stretch."""
+        state = cursor.state
+        version = record.version
         self.db.execute(
             "INSERT OR IGNORE INTO adoption VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
-                place.trail,
+                cursor.trail,
                 number,
                 state.name,
                 state.life,
                 state.boot,
-                told.kind,
-                told.origin,
-                told.epoch,
-                told.number,
-                told.digest,
+                version.kind,
+                version.origin,
+                version.epoch,
+                version.number,
+                version.digest,
                 record.order,
                 record.source,
                 record.wall_ms,
@@ -409,36 +463,42 @@
             ),
         )
         if record.taken:
-            self._close(place.trail, state, record.steady_ms)
-            self._stretch(place.trail, after(state, number, record))
-        if told.kind == LIST and record.order in (OLDER, FORKED):
-            held = state.versions.get(LIST)
+            self._end_stretch(cursor.trail, state, record.steady_ms)
+            self._stretch_id(cursor.trail, after(state, number, record))
+        if version.kind == LIST and record.order in (OLDER, FORKED):
+            previous = state.versions.get(LIST)
             self.found(
                 f"list {record.order}",
                 state.name,
-                f"{held} then {told} from {record.source}" + ("" if record.taken else ", not taken"),
+                f"{previous} then {version} from {record.source}" + ("" if record.taken else ", not taken"),
                 now_ms,
             )
-        self._wall(place, state.boot, record.wall_ms, record.steady_ms, state.name, now_ms)
+        self._check_wall_clock(cursor, state.boot, record.wall_ms, record.steady_ms, state.name, now_ms)
 
-    def _wall(
-        self, place: Place, boot: str, wall_ms: float, steady_ms: float, sender: str, now_ms: float
+    def _check_wall_clock(
+        self, cursor: Place, boot: str, wall_ms: float, steady_ms: float, sender: str, now_ms: float
     ) -> None:
+        """Reports a sender whose wall clock was stepped by more than a second since the start of its boot."""
         row = self.db.execute(
             "SELECT wall_ms - steady_ms FROM life WHERE boot=? ORDER BY steady_ms LIMIT 1", (boot,)
         ).fetchone()
         if row and abs(wall_ms - steady_ms - row[0]) > 1000.0:
-            stepped = round((wall_ms - steady_ms - row[0]) / 1000.0)
-            self.found("wall clock", sender, f"stepped by {stepped} s in boot {boot[:8]}", now_ms)
+            step_s = round((wall_ms - steady_ms - row[0]) / 1000.0)
+            self.found("wall clock", sender, f"stepped by {step_s} s in boot {boot[:8]}", now_ms)
+
+    def _add_gap(self, cursor: Place, gap: Gap, now_ms: float, totals: bool = False) -> None:
+        """Stores a period of which records are missing.
 
-    def _gap(self, place: Place, gap: Gap, now_ms: float, totals: bool = False) -> None:
+        totals: the counters of the period are known and only its single calls are missing, so the gap is not
+        a finding.
+        """
         self.db.execute(
             "INSERT OR IGNORE INTO gap(trail, sender, boot, from_ms, to_ms, why, calls, totals) "
             "VALUES(?, ?, ?, ?, ?, ?, ?, ?)",
             (
-                place.trail,
-                place.state.name,
-                place.state.boot,
+                cursor.trail,
+                cursor.state.name,
+                cursor.state.boot,
                 gap.from_ms,
                 gap.to_ms,
                 gap.why,
@@ -449,33 +509,35 @@
         if not totals:
             self.found(
                 "gap",
-                place.state.name,
-                f"{gap.why} ({gap.from_ms:.0f} to {gap.to_ms:.0f} ms of boot {place.state.boot[:8]})",
+                cursor.state.name,
+                f"{gap.why} ({gap.from_ms:.0f} to {gap.to_ms:.0f} ms of boot {cursor.state.boot[:8]})",
                 now_ms,
             )
 
-    def _folded(self, place: Place, record: Folded) -> None:
-        """Records that were folded before they were taken: their totals, and no single calls."""
+    def _add_folded(self, cursor: Place, record: Folded) -> None:
+        """Stores the totals of records that were folded before they were polled, without single calls."""
         self._flush()
-        known = record.chain in [chain for _, chain in self._rows(place.name, record.last)]
+        known = record.chain in [chain for _, chain in self._records_numbered(cursor.name, record.last)]
         for total in () if known else record.totals:
-            if total.to_ms <= place.last_ms and total.number < place.state.stretch:
-                continue  # taken whole, record by record
+            if total.to_ms <= cursor.last_ms and total.number < cursor.state.stretch:
+                continue  # every record of this stretch is stored
             state = State(total.life, total.name, total.boot, total.versions, total.number, total.from_ms)
-            stretch = self._stretch(place.trail, state)
-            calls = sum(each.calls for each in total.tallies)
+            stretch = self._stretch_id(cursor.trail, state)
+            calls = sum(tally.calls for tally in total.tallies)
             self.db.execute(
                 "UPDATE stretch SET calls=?, rejected=?, abandoned=?, to_ms=?, mixed=?, singles=0 WHERE id=?",
                 (calls, total.rejected, total.abandoned, total.to_ms, total.mixed, stretch),
             )
             self.db.executemany(
                 "INSERT OR REPLACE INTO tally VALUES(?, ?, ?, ?, ?)",
-                [(stretch, *msgspec.structs.astuple(each)) for each in total.tallies],
+                [(stretch, *msgspec.structs.astuple(tally)) for tally in total.tallies],
             )
-            since = max(total.from_ms, place.last_ms if place.state.stretch == total.number else 0.0)
-            held = Place(place.trail, place.name, state=state)
-            self._gap(held, Gap(since, total.to_ms, "folded before it was taken", calls), 0.0, True)
+            since_ms = max(total.from_ms, cursor.last_ms if cursor.state.stretch == total.number else 0.0)
+            folded = Place(cursor.trail, cursor.name, state=state)
+            self._add_gap(folded, Gap(since_ms, total.to_ms, "folded before it was taken", calls), 0.0, True)
         for gap in () if known else record.gaps:
-            self._gap(place, gap, 0.0)
-        place.state, place.next, place.chain = record.state, record.last + 1, record.chain
-        place.last_ms = max((total.to_ms for total in record.totals), default=place.last_ms)
+            self._add_gap(cursor, gap, 0.0)
+        cursor.state = record.state
+        cursor.next = record.last + 1
+        cursor.chain = record.chain
+        cursor.last_ms = max((total.to_ms for total in record.totals), default=cursor.last_ms)
--- a/birchstack/keeper/tables.py
+++ b/birchstack/keeper/tables.py
@@ -1,8 +1,9 @@
-"""The keeper's tables in SQLite: their form, transactions, lists, verdicts and findings.
+"""The collector's SQLite store: schema, transactions, published lists, verdicts and findings.
 
-Owns the file. Must never ask anybody, or know how a trail is read (store.Store does). What is not committed
-was never had: commit() is called before anything is said of it. Times as the trails say them (steady clock of
-a boot); table `clock` places a boot in the keeper's time; what the keeper itself finds is in its own time.
+Owns the file. Must not poll senders, or know how an audit trail is processed (store.Store does). Nothing
+counts as received before it is committed: commit() comes before anything is reported from it. Times in the
+tables are those of the audit trails, by the steady clock of a boot; table `clock` holds the offset of each
+boot's clock to the collector's. Times of the collector's own findings are by its own clock.
 """
 
 from __future__ import annotations
@@ -55,87 +56,97 @@
 
 
 class StoreError(Exception):
-    """The store cannot be used: says why."""
+    """The store cannot be used; the message says why."""
 
 
 class Tables:
-    """What a subclass holds back until the commit it writes in _flush(), and forgets in _clear()."""
+    """Base class of the store: the tables and their transactions.
+
+    A subclass writes rows that it buffers until the commit in _flush(), and drops its buffers and caches in
+    _clear().
+    """
 
     def __init__(self, path: str, most_mb: float = 4096.0) -> None:
+        """Opens the store at path, or creates it, with an upper bound on its size."""
         try:
             self.db = sqlite3.connect(path, isolation_level=None)
             self.db.executescript(
                 "PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA cache_size=-16000;"
             )
-            size = self.db.execute("PRAGMA page_size").fetchone()[0]
-            self.db.execute(f"PRAGMA max_page_count={int(most_mb * (1 << 20)) // size}")
+            page_bytes = self.db.execute("PRAGMA page_size").fetchone()[0]
+            self.db.execute(f"PRAGMA max_page_count={int(most_mb * (1 << 20)) // page_bytes}")
             self.db.executescript(TABLES)
-            found = self.db.execute("SELECT value FROM meta WHERE key='schema'").fetchone()
-            if found is None:
+            schema = self.db.execute("SELECT value FROM meta WHERE key='schema'").fetchone()
+            if schema is None:
                 self.db.execute("INSERT INTO meta VALUES('schema', ?)", (SCHEMA,))
-            elif found[0] != SCHEMA:
-                raise StoreError(f"store: {path} is of form {found[0]}, this program reads {SCHEMA}")
+            elif schema[0] != SCHEMA:
+                raise StoreError(
+                    f"store: {path} has schema version {schema[0]}, this program supports version {SCHEMA}"
+                )
         except sqlite3.Error as problem:
             raise StoreError(f"store: {path}: {problem}") from problem
-        self._changed = False
+        self._in_transaction = False
         self._clear()
 
     def _begin(self) -> None:
-        if not self._changed:
+        """Opens a write transaction unless one is open already."""
+        if not self._in_transaction:
             self.db.execute("BEGIN IMMEDIATE")
-            self._changed = True
+            self._in_transaction = True
 
     def _flush(self) -> None:
-        """Writes what was held back."""
+        """Writes the buffered rows."""
 
-    def _keep_places(self) -> None:
-        """Writes what comes next at each door, with the records that came before it."""
+    def _write_cursors(self) -> None:
+        """Writes the cursor of each address, in the transaction of the records that precede it."""
 
     def _clear(self) -> None:
-        """Forgets what was held back or remembered of the tables; they were rolled back."""
+        """Drops buffered rows and caches of the tables, at the start and after a rollback."""
 
     def commit(self) -> bool:
-        """All since the last one is kept, or none of it; False: the disk had no room, or failed."""
-        if not self._changed:
+        """Commits everything since the last commit, or nothing of it; False if the disk is full or failed."""
+        if not self._in_transaction:
             return True
         try:
             self._flush()
-            self._keep_places()
+            self._write_cursors()
             self.db.execute("COMMIT")
         except sqlite3.Error:
             self.rollback()
             return False
-        self._changed = False
+        self._in_transaction = False
         return True
 
     def rollback(self) -> None:
+        """Discards everything since the last commit, including buffers and caches."""
         if self.db.in_transaction:
             self.db.execute("ROLLBACK")
-        self._changed = False
+        self._in_transaction = False
         self._clear()
 
     def close(self) -> None:
+        """Commits and closes the database."""
         self.commit()
         self.db.close()
 
     # Lists and findings
 
     def publish(self, version: Version, order: str, changes: dict[str, str], at_ms: float) -> None:
-        """A version of the list that its service gave out, at the keeper's time."""
+        """Records a version that the list service published; at_ms is the collector's time."""
         self._begin()
-        row = self.db.execute(
+        published = self.db.execute(
             "INSERT INTO published(epoch, number, digest, ord, source, at_ms) VALUES(?, ?, ?, ?, ?, ?)",
             (version.epoch, version.number, version.digest, order, version.origin, at_ms),
         ).lastrowid
         self.db.executemany(
             "INSERT INTO change VALUES(?, ?, ?)",
-            [(row, endpoint, state) for endpoint, state in changes.items()],
+            [(published, endpoint, state) for endpoint, state in changes.items()],
         )
         if order in (OLDER, FORKED):
             self.found(f"list service {order}", "", f"{version} from {version.origin}", at_ms)
 
     def newest(self) -> tuple[Version | None, dict[str, str]]:
-        """The list that was given out last, and its endpoints' states."""
+        """Returns the list version published last, and the states of its endpoints."""
         row = self.db.execute(
             "SELECT source, epoch, number, digest FROM published ORDER BY id DESC LIMIT 1"
         ).fetchone()
@@ -143,7 +154,7 @@
         return Version(LIST, *row) if row else None, states
 
     def judged(self, sender: str, what: str, evidence: str, since_ms: float, at_ms: float) -> None:
-        """A verdict on a sender, or ("") on the fleet as a whole, that is another than the one before."""
+        """Records a changed verdict on a sender, or on the fleet as a whole where sender is empty."""
         self._begin()
         self.db.execute(
             "INSERT INTO verdict(sender, what, evidence, since_ms, at_ms) VALUES(?, ?, ?, ?, ?)",
@@ -151,16 +162,17 @@
         )
 
     def doors(self) -> list[tuple[str, str, float | None, bytes | None]]:
-        """Each door: its address, sender, when it answered last, and its last piece."""
+        """Returns for each polled address: address, sender, time of its last answer, and that answer."""
         return self.db.execute("SELECT at, sender, answered_ms, piece FROM door").fetchall()
 
     def given(self) -> list[tuple[str, str, int, str, float]]:
-        """The versions given out last, oldest first: source, epoch, number, digest, since when."""
+        """Returns the last published versions, oldest first: source, epoch, number, digest, time."""
         return self.db.execute(
             "SELECT source, epoch, number, digest, at_ms FROM published ORDER BY id DESC LIMIT 256"
         ).fetchall()[::-1]
 
     def found(self, kind: str, sender: str, detail: str, at_ms: float) -> None:
+        """Records a finding; one that is stored already is left as it is."""
         self._begin()
         self.db.execute(
             "INSERT OR IGNORE INTO finding(kind, sender, detail, at_ms) VALUES(?, ?, ?, ?)",
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -108,10 +108,10 @@
 
 @mutant("what is folded is taken without saying so", ("keeper cut", "keeper killed"), True)
 def _(patch):
-    old = store.Store._gap
+    old = store.Store._add_gap
     patch.set(
         store.Store,
-        "_gap",
+        "_add_gap",
         lambda self, place, gap, now_ms, totals=False: None if totals else old(self, place, gap, now_ms),
     )
 
@@ -137,10 +137,10 @@
         return old(self, record, now_ms)
 
     patch.set(audit_files.AuditFiles, "write", write)
-    gap = store.Store._gap
+    gap = store.Store._add_gap
     patch.set(
         store.Store,
-        "_gap",
+        "_add_gap",
         lambda self, place, told, *words: (
             None if "are not there" in told.why else gap(self, place, told, *words)
         ),
@@ -169,13 +169,13 @@
 
 @mutant("a lost folder goes on as if it were the old one")
 def _(patch):
-    old = store.Store._other_trail
+    old = store.Store._switch_trail
 
     def other(self, place, piece, now_ms):
         old(self, place, piece, now_ms)
         place.lost = None
 
-    patch.set(store.Store, "_other_trail", other)
+    patch.set(store.Store, "_switch_trail", other)
 
 
 def find(name, seeds):
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -123,7 +123,7 @@
         ("name = 3\n", "$.name"),
         (GOOD + "at2 = 1\n", "at2"),
         (GOOD.replace("127.0.0.1:1", "nowhere"), "senders[0].at"),
-        (GOOD + '[[senders]]\nname = "n2"\nat = "127.0.0.1:1"\n', "door of n1 already"),
+        (GOOD + '[[senders]]\nname = "n2"\nat = "127.0.0.1:1"\n', "is an address of n1 already"),
         (GOOD + "[asks]\nevery_s = 0\n", "$.asks.every_s"),
         (GOOD + '[lists]\nat = "x"\n', "$.lists.at"),
         ("name = [", "f.toml"),
