--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -1,9 +1,9 @@
-"""Deliberate faults in the audit, one at a time, and how many drawn days it takes to find each.
+"""Deliberate faults in the audit, one at a time, and how many generated days it takes to detect each.
 
     python -m tests.fleet_mutants [--seeds N] [NAME ...]
 
-Ends with status 1 if one is not found, or if the audit without a fault has a breach on these days. Slow (some
-minutes on eight cores), so no part of the fast tests.
+Ends with status 1 if one is not detected, or if the audit without a fault has a breach on these days. Slow
+(some minutes on eight cores), so not part of the fast tests.
 """
 
 import argparse
@@ -23,82 +23,84 @@
 
 
 def mutant(name, kinds=KINDS, hot=None):
-    """kinds, hot: of the days that are drawn, where the fault shows only in rare ones."""
+    """Registers a fault. kinds, hot: restrict the generated days where only rare ones reveal the fault."""
 
-    def keep(function):
+    def register(function):
         MUTANTS[name] = function, kinds, hot
         return function
 
-    return keep
+    return register
 
 
 @mutant("a turn is recorded after its calls")
 def _(patch):
-    old = audit_log.FleetAuditLog.turn
+    original = audit_log.FleetAuditLog.turn
 
     def turn(self, calls, refused, failed):
-        late, self.late = getattr(self, "late", None), (calls, refused, failed)
-        if late:
-            old(self, *late)
+        delayed = getattr(self, "delayed", None)
+        self.delayed = calls, refused, failed
+        if delayed:
+            original(self, *delayed)
 
     patch.set(audit_log.FleetAuditLog, "turn", turn)
 
 
 @mutant("an adoption is recorded when something more is adopted")
 def _(patch):
-    old = audit_log.FleetAuditLog._adopt
+    original = audit_log.FleetAuditLog._adopt
 
-    def adopt(self, *words, **more):
-        if words[0].kind != "list" or words[1] == "first":
-            return old(self, *words, **more)
-        late, self.late_list = getattr(self, "late_list", None), (words, more)
-        self._versions["list"] = words[0]
-        if late:
-            old(self, *late[0], **late[1])
+    def adopt(self, *args, **options):
+        if args[0].kind != "list" or args[1] == "first":
+            return original(self, *args, **options)
+        delayed = getattr(self, "delayed_list", None)
+        self.delayed_list = args, options
+        self._versions["list"] = args[0]
+        if delayed:
+            original(self, *delayed[0], **delayed[1])
 
     patch.set(audit_log.FleetAuditLog, "_adopt", adopt)
 
 
 @mutant("only the first call of a turn is recorded")
 def _(patch):
-    old = audit_log.FleetAuditLog.turn
-    patch.set(audit_log.FleetAuditLog, "turn", lambda self, calls, *words: old(self, calls[:1], *words))
+    original = audit_log.FleetAuditLog.turn
+    patch.set(audit_log.FleetAuditLog, "turn", lambda self, calls, *args: original(self, calls[:1], *args))
 
 
 @mutant("a number is used twice")
 def _(patch):
-    old = trail.Trail.frame
+    original = trail.Trail.frame
 
     def frame(self, record):
         if self.last % 40 == 39:
             return records.frame(self.last, self.chain, record)
-        return old(self, record)
+        return original(self, record)
 
     patch.set(trail.Trail, "frame", frame)
 
 
 @mutant("a gap is hidden")
 def _(patch):
-    old = audit_files.AuditFiles._keep
+    original = audit_files.AuditFiles._keep
     patch.set(
         audit_files.AuditFiles,
         "_keep",
-        lambda self, record: True if isinstance(record, records.Gap) else old(self, record),
+        lambda self, record: True if isinstance(record, records.Gap) else original(self, record),
     )
 
 
-@mutant("a sender that is losing records passes for complete", ("disk full",))
+@mutant("a sender that is losing records counts as complete", ("disk full",))
 def _(patch):
-    old = store.Store.take
+    original = store.Store.take
 
-    def take(self, at, piece, *words):
-        return old(self, at, msgspec.structs.replace(piece, failing=False), *words)
+    def take(self, at, piece, *args):
+        return original(self, at, msgspec.structs.replace(piece, failing=False), *args)
 
     patch.set(store.Store, "take", take)
     patch.set(audit_files.AuditFiles, "retry", never)
 
 
-@mutant("folding forgets what the segment before had", ("keeper cut", "keeper killed"), True)
+@mutant("folding drops the totals of the segment before", ("keeper cut", "keeper killed"), True)
 def _(patch):
     def add(self, more):
         self.tallies, self.to_ms = more.tallies, more.to_ms
@@ -106,80 +108,82 @@
     patch.set(trail.Sums, "add", add)
 
 
-@mutant("what is folded is taken without saying so", ("keeper cut", "keeper killed"), True)
+@mutant("folded records are stored without a gap", ("keeper cut", "keeper killed"), True)
 def _(patch):
-    old = store.Store._add_gap
+    original = store.Store._add_gap
     patch.set(
         store.Store,
         "_add_gap",
-        lambda self, place, gap, now_ms, totals=False: None if totals else old(self, place, gap, now_ms),
+        lambda self, cursor, gap, now_ms, totals=False: (
+            None if totals else original(self, cursor, gap, now_ms)
+        ),
     )
 
 
-@mutant("a keeper that is killed keeps its place and not its records")
+@mutant("a rollback keeps the cursors and drops the records")
 def _(patch):
     def rollback(self):
         if self.db.in_transaction:
             self.db.execute("ROLLBACK")
-        places = self.places
+        cursors = self.places
         self._clear()
-        self.places = places
+        self.places = cursors
 
     patch.set(store.Store, "rollback", rollback)
 
 
-@mutant("rot is cut out and nobody is told", ("rot", "keeper cut"), True)
+@mutant("damaged records are removed without a gap", ("rot", "keeper cut"), True)
 def _(patch):
-    old = audit_files.AuditFiles.write
+    original_write = audit_files.AuditFiles.write
 
     def write(self, record, now_ms):
         self._doubtful.clear()
-        return old(self, record, now_ms)
+        return original_write(self, record, now_ms)
 
     patch.set(audit_files.AuditFiles, "write", write)
-    gap = store.Store._add_gap
+    original_gap = store.Store._add_gap
     patch.set(
         store.Store,
         "_add_gap",
-        lambda self, place, told, *words: (
-            None if "are not there" in told.why else gap(self, place, told, *words)
+        lambda self, cursor, gap, *args: (
+            None if "are not there" in gap.why else original_gap(self, cursor, gap, *args)
         ),
     )
 
 
-@mutant("a sender's clock is placed on the wrong side of the keeper's")
+@mutant("a sender's clock offset is 700 ms too low")
 def _(patch):
-    old = questions.Reader.at
-    patch.set(questions.Reader, "at", lambda self, boot, steady_ms: old(self, boot, steady_ms) - 700.0)
+    original = questions.Reader.at
+    patch.set(questions.Reader, "at", lambda self, boot, steady_ms: original(self, boot, steady_ms) - 700.0)
 
 
-@mutant("an endpoint that is back in still counts as out")
+@mutant("an endpoint that was added again still counts as removed")
 def _(patch):
-    old = questions.Reader.after
+    original = questions.Reader.after
 
     def after(self, endpoint, out_at, epoch=None, grace_ms=0.0):
-        told = old(self, endpoint, out_at, epoch, grace_ms)
-        if not told.in_ms:
-            return told
-        more = [each for each in self._calls("c.endpoint=?", endpoint) if each.at_ms > told.out_ms]
-        return msgspec.structs.replace(told, calls=more)
+        answer = original(self, endpoint, out_at, epoch, grace_ms)
+        if not answer.in_ms:
+            return answer
+        calls = [call for call in self._calls("c.endpoint=?", endpoint) if call.at_ms > answer.out_ms]
+        return msgspec.structs.replace(answer, calls=calls)
 
     patch.set(questions.Reader, "after", after)
 
 
-@mutant("a lost folder goes on as if it were the old one")
+@mutant("the loss of a folder is not recorded as a gap")
 def _(patch):
-    old = store.Store._switch_trail
+    original = store.Store._switch_trail
 
-    def other(self, place, piece, now_ms):
-        old(self, place, piece, now_ms)
-        place.lost = None
+    def switch_trail(self, cursor, piece, now_ms):
+        original(self, cursor, piece, now_ms)
+        cursor.lost = None
 
-    patch.set(store.Store, "_switch_trail", other)
+    patch.set(store.Store, "_switch_trail", switch_trail)
 
 
 def find(name, seeds):
-    """The first seed whose day finds the fault, and what it says; None if none does."""
+    """Returns the first seed whose day detects the fault, and its breach; None if no day does."""
     logging.disable(logging.CRITICAL)
     patch, kinds, hot = Patch(), KINDS, None
     if name:
@@ -199,21 +203,25 @@
 
 
 def main():
-    told = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    told.add_argument("--seeds", type=int, default=300)
-    told.add_argument("--first", type=int, default=5000)
-    told.add_argument("names", nargs="*")
-    told = told.parse_args()
-    names, bad = [*(told.names or MUTANTS), ""], 0
-    seeds = range(told.first, told.first + told.seeds)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seeds", type=int, default=300)
+    parser.add_argument("--first", type=int, default=5000)
+    parser.add_argument("names", nargs="*")
+    options = parser.parse_args()
+    names = [*(options.names or MUTANTS), ""]
+    failures = 0
+    seeds = range(options.first, options.first + options.seeds)
     with ProcessPoolExecutor(max_tasks_per_child=1) as pool:
         for name, found in zip(names, pool.map(functools.partial(find, seeds=seeds), names), strict=True):
-            bad += (found is None) == bool(name)
+            failures += (found is None) == bool(name)
             if found:
-                print(f"{name or 'no fault'}: day {found[0] - told.first + 1}: {found[1][:120]}", flush=True)
+                day = found[0] - options.first + 1
+                print(f"{name or 'no fault'}: day {day}: {found[1][:120]}", flush=True)
             else:
-                print(f"{name or 'no fault'}: nothing found on {told.seeds} days", flush=True)
-    return 1 if bad else 0
+                print(f"{name or 'no fault'}: nothing found on {options.seeds} days", flush=True)
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""The keeper's file and the commands: what they say, to people and to programs, and their status."""
+"""The collector's configuration file and the fleet commands: their output, as tables and JSON, and status."""
 
 import json
 
@@ -12,17 +12,19 @@
 from birchstack.keeper.config import KeeperError, decode
 from birchstack.keeper.store import Store
 
-GOOD = 'name = "k"\nstore = "s"\n[[senders]]\nname = "n1"\nat = "127.0.0.1:1"\n'
+VALID_CONFIG = 'name = "k"\nstore = "s"\n[[senders]]\nname = "n1"\nat = "127.0.0.1:1"\n'
 
 
 def version(number):
     return Version(LIST, "x", "", number, f"{number:032x}")
 
 
-def piece(records, name="n1", trail="t1", after=0, now=100.0, **words):
-    chain, frames = START, []
-    for number, each in enumerate(records, 1):
-        data, chain = frame(number, chain, each)
+def piece(records, name="n1", trail="t1", after=0, now=100.0, **fields):
+    """Returns a sender's answer with the records beyond number `after`."""
+    chain = START
+    frames = []
+    for number, record in enumerate(records, 1):
+        data, chain = frame(number, chain, record)
         frames.append(data if number > after else b"")
     return wire.Piece(
         name=name,
@@ -36,7 +38,7 @@
         chain=chain,
         frames=b"".join(frames),
         versions={LIST: version(2)},
-        **words,
+        **fields,
     )
 
 
@@ -50,46 +52,47 @@
 
 @pytest.fixture
 def store(tmp_path):
-    made = Store(str(tmp_path / "s.sqlite"))
-    made.publish(version(1), "first", {"e1": "active", "e2": "active"}, 0.0)
-    made.publish(version(2), "newer", {"e1": "leaving"}, 20.0)
-    made.take("127.0.0.1:1", piece(RECORDS), 100.0, 1.0)
-    made.close()
+    written = Store(str(tmp_path / "s.sqlite"))
+    written.publish(version(1), "first", {"e1": "active", "e2": "active"}, 0.0)
+    written.publish(version(2), "newer", {"e1": "leaving"}, 20.0)
+    written.take("127.0.0.1:1", piece(RECORDS), 100.0, 1.0)
+    written.close()
     return str(tmp_path / "s.sqlite")
 
 
-def run(store, *words):
-    done = CliRunner().invoke(main, ["fleet", "--store", store, "--json", *words])
-    return done.exit_code, json.loads(done.output) if done.exit_code in (0, 3) else done.output
+def run(store, *arguments):
+    """Returns the exit status and the parsed JSON, or the output where the command failed."""
+    result = CliRunner().invoke(main, ["fleet", "--store", store, "--json", *arguments])
+    return result.exit_code, json.loads(result.output) if result.exit_code in (0, 3) else result.output
 
 
-def test_each_question_has_its_answer_for_programs_and_a_status(store):
-    code, told = run(store, "acted", "--list", "1")
+def test_each_query_prints_json_and_sets_the_exit_status(store):
+    code, answer = run(store, "acted", "--list", "1")
     assert code == 0 and [
-        (each["sender"], each["calls"], each["rejected"], each["abandoned"], each["open"])
-        for each in told["stretches"]
+        (stretch["sender"], stretch["calls"], stretch["rejected"], stretch["abandoned"], stretch["open"])
+        for stretch in answer["stretches"]
     ] == [("n1", 3, 2, 1, True)]
-    code, told = run(store, "acted", "--list", "1", "--late")
-    assert code == 0 and not told["calls"], "within the time that news may take"
-    code, told = run(store, "after", "--endpoint", "e1", "--out-at", "2")
-    assert code == 3 and [(each["doc"], each["past_ms"]) for each in told["calls"]] == [("d3", 10.0)]
-    assert [each["why"] for each in told["unknown"]] == ["not heard of since"]
-    code, told = run(store, "after", "--endpoint", "e1", "--out-at", "2", "--grace-ms", "15")
-    assert code == 0 and not told["calls"]
-    code, told = run(store, "document", "d9")
-    assert code == 0 and [(each["sender"], each["endpoint"], each["number"]) for each in told["calls"]] == [
+    code, answer = run(store, "acted", "--list", "1", "--late")
+    assert code == 0 and not answer["calls"], "the call began within the time that a version takes to arrive"
+    code, answer = run(store, "after", "--endpoint", "e1", "--out-at", "2")
+    assert code == 3 and [(call["doc"], call["past_ms"]) for call in answer["calls"]] == [("d3", 10.0)]
+    assert [period["why"] for period in answer["unknown"]] == ["not heard of since"]
+    code, answer = run(store, "after", "--endpoint", "e1", "--out-at", "2", "--grace-ms", "15")
+    assert code == 0 and not answer["calls"]
+    code, answer = run(store, "document", "d9")
+    assert code == 0 and [(call["sender"], call["endpoint"], call["number"]) for call in answer["calls"]] == [
         ("n1", None, 1)
     ]
-    code, told = run(store, "findings")
-    assert code == 3 and ("silent", "n1") in {(each["kind"], each["sender"]) for each in told}
-    code, told = run(store, "status")
-    assert code == 3 and told["senders"][0]["list"] == "2@00000000"
-    code, told = run(store, "timeline", "--minutes", "1e9")
-    assert code == 0 and {"published", "began", "adopted", "unknown"} <= {each["what"] for each in told}
+    code, answer = run(store, "findings")
+    assert code == 3 and ("silent", "n1") in {(finding["kind"], finding["sender"]) for finding in answer}
+    code, answer = run(store, "status")
+    assert code == 3 and answer["senders"][0]["list"] == "2@00000000"
+    code, answer = run(store, "timeline", "--minutes", "1e9")
+    assert code == 0 and {"published", "began", "adopted", "unknown"} <= {event["what"] for event in answer}
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ["status"],
         ["acted", "--list", "1"],
@@ -99,75 +102,75 @@
         ["timeline"],
     ],
 )
-def test_each_question_has_a_table_for_people(store, words):
-    done = CliRunner().invoke(main, ["fleet", "--store", store, *words])
-    assert done.exit_code in (0, 3) and ("n1" in done.output or words == ["timeline"])
-    if words[0] in ("acted", "document", "after"):
-        assert "unknown from" in done.output.replace("\n", " ")
+def test_each_query_prints_a_table(store, arguments):
+    result = CliRunner().invoke(main, ["fleet", "--store", store, *arguments])
+    assert result.exit_code in (0, 3) and ("n1" in result.output or arguments == ["timeline"])
+    if arguments[0] in ("acted", "document", "after"):
+        assert "unknown from" in result.output.replace("\n", " ")
 
 
-def test_what_cannot_be_answered_is_one_line(store, tmp_path):
-    for words, named in [
+def test_a_query_that_cannot_be_answered_fails_with_its_reason(store, tmp_path):
+    for arguments, expected in [
         (["after", "--endpoint", "e2", "--out-at", "2"], "e2 was not taken out by list 2"),
         (["acted", "--list", "7", "--late"], "list 7 was never given out"),
     ]:
-        code, told = run(store, *words)
-        assert code == 1 and named in told
-    done = CliRunner().invoke(main, ["fleet", "--store", str(tmp_path / "none"), "status"])
-    assert done.exit_code == 1 and "none" in done.output
+        code, output = run(store, *arguments)
+        assert code == 1 and expected in output
+    result = CliRunner().invoke(main, ["fleet", "--store", str(tmp_path / "none"), "status"])
+    assert result.exit_code == 1 and "none" in result.output
 
 
 @pytest.mark.parametrize(
-    "text, named",
+    "text, expected",
     [
         ("name = 3\n", "$.name"),
-        (GOOD + "at2 = 1\n", "at2"),
-        (GOOD.replace("127.0.0.1:1", "nowhere"), "senders[0].at"),
-        (GOOD + '[[senders]]\nname = "n2"\nat = "127.0.0.1:1"\n', "is an address of n1 already"),
-        (GOOD + "[asks]\nevery_s = 0\n", "$.asks.every_s"),
-        (GOOD + '[lists]\nat = "x"\n', "$.lists.at"),
+        (VALID_CONFIG + "at2 = 1\n", "at2"),
+        (VALID_CONFIG.replace("127.0.0.1:1", "nowhere"), "senders[0].at"),
+        (VALID_CONFIG + '[[senders]]\nname = "n2"\nat = "127.0.0.1:1"\n', "is an address of n1 already"),
+        (VALID_CONFIG + "[asks]\nevery_s = 0\n", "$.asks.every_s"),
+        (VALID_CONFIG + '[lists]\nat = "x"\n', "$.lists.at"),
         ("name = [", "f.toml"),
     ],
 )
-def test_a_wrong_file_of_the_keeper_is_named_by_its_key(text, named, tmp_path):
-    with pytest.raises(KeeperError, match="f.toml") as caught:
+def test_an_invalid_configuration_file_is_reported_with_its_key(text, expected, tmp_path):
+    with pytest.raises(KeeperError, match="f.toml") as error:
         decode(text.encode(), "f.toml")
-    assert named in str(caught.value)
+    assert expected in str(error.value)
     (tmp_path / "f.toml").write_text(text)
-    done = CliRunner().invoke(main, ["keeper", str(tmp_path / "f.toml")])
-    assert done.exit_code == 2
+    result = CliRunner().invoke(main, ["keeper", str(tmp_path / "f.toml")])
+    assert result.exit_code == 2
 
 
-def test_a_record_that_comes_often_is_taken_once_and_a_commit_that_fails_takes_nothing(tmp_path):
-    made = Store(str(tmp_path / "s.sqlite"), most_mb=1)
+def test_a_repeated_record_is_stored_once_and_a_failed_commit_stores_nothing(tmp_path):
+    store = Store(str(tmp_path / "s.sqlite"), most_mb=1)
     for _ in range(3):
-        made.take("a:1", piece(RECORDS), 100.0, 1.0)
-        made.places["a:1"].next = 1  # as if it had forgotten
-        made.places["a:1"].begin(looking=False)
-    assert made.commit() and made.db.execute("SELECT count(*) FROM call").fetchone() == (4,)
-    many = [*RECORDS, *(Acted(100.0 + at, (f"document-{at}", "e1")) for at in range(20000))]
+        store.take("a:1", piece(RECORDS), 100.0, 1.0)
+        store.places["a:1"].next = 1  # reads the same records again
+        store.places["a:1"].begin(looking=False)
+    assert store.commit() and store.db.execute("SELECT count(*) FROM call").fetchone() == (4,)
+    too_many = [*RECORDS, *(Acted(100.0 + index, (f"document-{index}", "e1")) for index in range(20000))]
     full = False
     try:
-        made.take("a:1", piece(many, now=1e6), 1e6, 1.0)
-        full = not made.commit()
+        store.take("a:1", piece(too_many, now=1e6), 1e6, 1.0)
+        full = not store.commit()
     except Exception:
-        made.rollback()
+        store.rollback()
         full = True
-    assert full, "a store of one megabyte does not hold this"
-    assert made.db.execute("SELECT count(*) FROM call").fetchone() == (4,), "all of it or nothing"
-    assert made.wanted("a:1") <= 4, "what was not kept is asked for again"
-    made.take("a:1", piece([*RECORDS, Acted(50.0, ("d5", "e2"))]), 200.0, 1.0)
-    assert made.commit() and made.db.execute("SELECT count(*) FROM call").fetchone() == (5,)
+    assert full, "these records exceed the limit of one megabyte"
+    assert store.db.execute("SELECT count(*) FROM call").fetchone() == (4,), "the transaction is atomic"
+    assert store.wanted("a:1") <= 4, "records that were not committed are polled again"
+    store.take("a:1", piece([*RECORDS, Acted(50.0, ("d5", "e2"))]), 200.0, 1.0)
+    assert store.commit() and store.db.execute("SELECT count(*) FROM call").fetchone() == (5,)
 
 
-def test_a_record_altered_after_it_was_taken_and_bytes_that_are_none_are_findings(tmp_path):
-    made = Store(str(tmp_path / "s.sqlite"))
-    made.take("a:1", piece(RECORDS), 100.0, 1.0)
+def test_a_record_altered_after_it_was_stored_and_undecodable_bytes_are_findings(tmp_path):
+    store = Store(str(tmp_path / "s.sqlite"))
+    store.take("a:1", piece(RECORDS), 100.0, 1.0)
     forged = [*RECORDS[:2], Acted(10.0, ("forged", "e1")), *RECORDS[3:], Acted(40.0, ("d4", "e1"))]
-    told = piece(forged, after=4)
-    assert made.take("a:1", told, 200.0, 1.0), "it does not follow: read from the start"
-    made.take("a:1", piece(forged), 200.0, 1.0)
-    spoilt = wire.Piece(
+    answer = piece(forged, after=4)
+    assert store.take("a:1", answer, 200.0, 1.0), "the chain does not match: the trail is read from its start"
+    store.take("a:1", piece(forged), 200.0, 1.0)
+    undecodable = wire.Piece(
         name="n2",
         process="p",
         boot="b",
@@ -178,7 +181,7 @@
         last=1,
         frames=b"nothing at all",
     )
-    made.take("b:1", spoilt, 200.0, 1.0)
-    kinds = {row for row in made.db.execute("SELECT kind, sender FROM finding")}
+    store.take("b:1", undecodable, 200.0, 1.0)
+    kinds = {row for row in store.db.execute("SELECT kind, sender FROM finding")}
     assert {("fork", "n1"), ("answer spoilt", "n2")} <= kinds
-    assert made.db.execute("SELECT count(*) FROM call WHERE doc IN ('d1', 'forged')").fetchone() == (2,)
+    assert store.db.execute("SELECT count(*) FROM call WHERE doc IN ('d1', 'forged')").fetchone() == (2,)
