--- a/benchmarks/capacity/keepers.py
+++ b/benchmarks/capacity/keepers.py
@@ -67,7 +67,7 @@
         for at in range(max(len(parts) for parts, _ in made)):
             for sender, (parts, _) in enumerate(made):
                 if at < len(parts):
-                    store.take(f"d{sender}", parts[at], 1.0 + at, 1.0)
+                    store.store_answer(f"d{sender}", parts[at], 1.0 + at, 1.0)
             if not store.commit():
                 raise OSError("the store was not written")
         cpu_s, clock_s = time.process_time() - cpu_s, time.monotonic() - began
--- a/benchmarks/capacity/signals.py
+++ b/benchmarks/capacity/signals.py
@@ -25,7 +25,7 @@
 from birchstack.fleet.settings import Signals
 from birchstack.fleet.signalling import Signalling
 from birchstack.fleet.wire import Piece
-from birchstack.keeper.config import Asks
+from birchstack.keeper.config import PollConfig
 from birchstack.keeper.relay import Relay
 
 NAME = "signals"
@@ -33,7 +33,7 @@
 WAYS = (REFUSED, ERRING, SILENT)
 SEEDS = 2
 KEEPERS, ASK_EVERY_MS, WAY_MS = 2, 1000.0, 2.0
-ROOM = Asks().signal_bytes
+ROOM = PollConfig().signal_bytes
 LINK_EVERY_MS = 500.0
 WELL_S, DOWN_S, BACK_S, STEADY_S = 60.0, 240.0, 60.0, 120.0  # the last of DOWN_S is the steady part
 WINDOW_MS = 2000.0  # in which calls of a cold destination are counted
@@ -218,7 +218,7 @@
 
     def _answered(self, relay: Relay, member: Member, piece: Piece, asked_ms: float) -> None:
         began = time.process_time()
-        relay.answered(member.name, member.name, piece, asked_ms, self.now)
+        relay.handle_answer(member.name, member.name, piece, asked_ms, self.now)
         self.seen.cpu_s += time.process_time() - began
 
 
--- a/benchmarks/capacity/signals_down.py
+++ b/benchmarks/capacity/signals_down.py
@@ -16,7 +16,7 @@
 from birchstack.fleet.signalling import Signalling
 from birchstack.fleet.wire import Piece
 from birchstack.interface import SignalKind
-from birchstack.keeper.config import Asks
+from birchstack.keeper.config import PollConfig
 from birchstack.keeper.relay import Relay
 
 NAME, SENDERS, KEEPERS = "signals-down", 550, 2
@@ -54,7 +54,7 @@
         ]
         for each in self._senders:
             each.begins()
-        self._relays = [Relay(Asks().signal_bytes) for _ in range(KEEPERS)]
+        self._relays = [Relay(PollConfig().signal_bytes) for _ in range(KEEPERS)]
 
     def _reported(self, reports: list) -> None:
         self.spent.reports += len(reports)
@@ -86,7 +86,7 @@
         piece = Piece(
             name=name, process=f"{number:016x}", boot="", wall_ms=0.0, steady_ms=self.now_ms, signals=signals
         )
-        relay.answered(name, name, piece, self.now_ms, self.now_ms)
+        relay.handle_answer(name, name, piece, self.now_ms, self.now_ms)
         ended = time.process_time()
         spent.keeper_s += asked - began + ended - answered
         spent.sender_s += answered - asked
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -151,7 +151,7 @@
                 await rig.quiet()
                 await asyncio.sleep(2.5)
                 stores = Stores([rig.store("k1")], rig.now_ms())
-                known = sum(each.calls for each in stores.acted(1).stretches)
+                known = sum(each.calls for each in stores.activity(1).stretches)
                 print(
                     f"calls: {len(rig.endpoints.calls)} seen by endpoints ({calls} before the end), "
                     f"{known} in the store; store {os.path.getsize(rig.store('k1')) / 1e6:.1f} MB"
@@ -168,7 +168,9 @@
         began, size = time.monotonic(), 0
         for number in range(1, 51):
             changes = {"e1": "leaving"} if number == 40 else {}
-            store.publish(Version(LIST, "x", "", number, f"{number:032x}"), "newer", changes, number * 1e4)
+            store.add_published(
+                Version(LIST, "x", "", number, f"{number:032x}"), "newer", changes, number * 1e4
+            )
         for sender in range(senders):
             chain, at, frames, number = START, 0.0, [], 0
             records = [Life("l", f"n{sender}", "b", 0.0, 0.0)]
@@ -197,7 +199,7 @@
                     chain=chain,
                     frames=b"".join(frames[start : start + 1000]),
                 )
-                store.take(f"d{sender}", piece, at, 1.0)
+                store.store_answer(f"d{sender}", piece, at, 1.0)
                 store.commit()
         spent = time.monotonic() - began
         store.close()
@@ -208,10 +210,10 @@
         )
         stores = Stores([path], 5e5)
         for name, ask in (
-            ("acted --list 25", lambda: len(stores.acted(25).stretches)),
-            ("acted --list 25 --late", lambda: len(stores.late(25).calls)),
-            ("document", lambda: len(stores.document("doc-50-77").calls)),
-            ("after --endpoint e1 --out-at 40", lambda: len(stores.after("e1", 40).calls)),
+            ("acted --list 25", lambda: len(stores.activity(25).stretches)),
+            ("acted --list 25 --late", lambda: len(stores.late_calls(25).calls)),
+            ("document", lambda: len(stores.document_calls("doc-50-77").calls)),
+            ("after --endpoint e1 --out-at 40", lambda: len(stores.calls_after_removal("e1", 40).calls)),
             ("status", lambda: len(stores.status())),
             ("findings", lambda: len(stores.findings())),
         ):
--- a/birchstack/cli_fleet.py
+++ b/birchstack/cli_fleet.py
@@ -11,7 +11,7 @@
 
 import click
 
-FINDING = 3  # exit status when there are findings
+FINDINGS_STATUS = 3  # exit status when there are findings
 
 
 @click.command()
@@ -36,27 +36,29 @@
 @click.pass_context
 def fleet(context: click.Context, paths: tuple[str, ...], as_json: bool) -> None:
     """Query keepers' stores for what the fleet did. Exits with status 3 if there are findings."""
-    context.obj = Asked(paths, as_json)
+    context.obj = QueryContext(paths, as_json)
 
 
-class Asked:
+class QueryContext:
     """The stores and the output format that the options of `birchstack fleet` select."""
 
     def __init__(self, paths: tuple[str, ...], as_json: bool) -> None:
         self._paths = paths
         self._json = as_json
 
-    def ask(self, question, **words):
-        """Returns the result of question(stores); a query that cannot be answered ends the program."""
-        from birchstack.keeper.questions import AskError, Stores
+    def query(self, query, **options):
+        """Returns the result of query(stores); a query that cannot be answered ends the program."""
+        from birchstack.keeper.questions import QueryError, Stores
 
         try:
-            return question(Stores([*self._paths], **words))
-        except AskError as problem:
+            return query(Stores([*self._paths], **options))
+        except QueryError as problem:
             raise click.ClickException(str(problem)) from problem
 
-    def show(self, answer, tables: list[tuple[str, tuple[str, ...], list[tuple]]], finding: bool) -> None:
-        """Prints an answer as JSON or as tables, then exits with the status for finding.
+    def show(
+        self, answer, tables: list[tuple[str, tuple[str, ...], list[tuple]]], has_findings: bool
+    ) -> None:
+        """Prints an answer as JSON or as tables, then exits with FINDINGS_STATUS if has_findings, else 0.
 
         tables: title, columns and rows of each.
         """
@@ -74,27 +76,27 @@
                 for row in rows:
                     table.add_row(*(str(cell) for cell in row))
                 console.print(table if rows else f"{title}: none", markup=False)
-        sys.exit(FINDING if finding else 0)
+        sys.exit(FINDINGS_STATUS if has_findings else 0)
 
 
-def moment(at_ms: float) -> str:
+def format_time(at_ms: float) -> str:
     """Formats a time in Unix milliseconds as UTC; 0 stands for an unbounded start."""
     if not at_ms:
         return "the beginning"
     return datetime.fromtimestamp(at_ms / 1000.0, UTC).strftime("%Y-%m-%d %H:%M:%S.%f")[:-3]
 
 
-def span(ms: float) -> str:
+def format_duration(ms: float) -> str:
     """Formats a duration in seconds; a negative one is unknown."""
     return "-" if ms < 0.0 else f"{ms / 1000.0:.1f} s"
 
 
-def unknown_rows(unknown) -> tuple[str, tuple[str, ...], list[tuple]]:
+def unknown_table(unknown) -> tuple[str, tuple[str, ...], list[tuple]]:
     """Returns the table of unknown periods."""
     rows = [
         (
             period.sender,
-            f"unknown from {moment(period.from_ms)} to {moment(period.to_ms)}",
+            f"unknown from {format_time(period.from_ms)} to {format_time(period.to_ms)}",
             period.why,
             "?" if period.calls < 0 else period.calls,
         )
@@ -103,16 +105,16 @@
     return "not known", ("sender", "when", "why", "calls"), rows
 
 
-def call_rows(title: str, calls) -> tuple[str, tuple[str, ...], list[tuple]]:
+def calls_table(title: str, calls) -> tuple[str, tuple[str, ...], list[tuple]]:
     """Returns the table of calls."""
     rows = [
         (
-            moment(call.at_ms),
+            format_time(call.at_ms),
             call.sender,
             call.doc,
             call.endpoint or "(abandoned)",
             f"{call.epoch + ':' if call.epoch else ''}{call.number}@{(call.digest or '')[:8]}",
-            span(call.past_ms) if call.past_ms else "",
+            format_duration(call.past_ms) if call.past_ms else "",
         )
         for call in calls
     ]
@@ -124,10 +126,10 @@
 
 @fleet.command()
 @click.pass_obj
-def status(query: Asked) -> None:
+def status(context: QueryContext) -> None:
     """Show each sender: the versions it acts on, how far it is behind, and the age of its data."""
-    rows, findings = query.ask(lambda stores: (stores.status(), stores.findings()))
-    query.show(
+    rows, findings = context.query(lambda stores: (stores.status(), stores.findings()))
+    context.show(
         {"senders": rows, "findings": findings},
         [
             (
@@ -152,10 +154,10 @@
                         sender.at,
                         sender.list,
                         "-" if sender.behind < 0 else sender.behind,
-                        span(sender.behind_ms),
-                        span(sender.age_ms),
-                        span(sender.answered_ms),
-                        span(sender.heard_ms),
+                        format_duration(sender.behind_ms),
+                        format_duration(sender.age_ms),
+                        format_duration(sender.answered_ms),
+                        format_duration(sender.heard_ms),
                         sender.settings,
                         sender.decisions,
                         sender.held,
@@ -170,18 +172,18 @@
                     for sender in rows
                 ],
             ),
-            finding_rows(findings),
+            findings_table(findings),
         ],
         bool(findings),
     )
 
 
-def finding_rows(findings) -> tuple[str, tuple[str, ...], list[tuple]]:
+def findings_table(findings) -> tuple[str, tuple[str, ...], list[tuple]]:
     """Returns the table of findings."""
     return (
         "findings",
         ("since", "what", "sender", "detail"),
-        [(moment(finding.at_ms), finding.kind, finding.sender, finding.detail) for finding in findings],
+        [(format_time(finding.at_ms), finding.kind, finding.sender, finding.detail) for finding in findings],
     )
 
 
@@ -190,33 +192,33 @@
 @list_option
 @click.option("--late", is_flag=True, help="Show only calls that began when a later version was in force.")
 @click.pass_obj
-def acted(query: Asked, number: int, epoch: str | None, late: bool) -> None:
+def acted(context: QueryContext, number: int, epoch: str | None, late: bool) -> None:
     """Show which senders acted on a version of the list, from when to when, and how many calls began."""
     if late:
-        answer = query.ask(lambda stores: stores.late(number, epoch))
-        query.show(
+        answer = context.query(lambda stores: stores.late_calls(number, epoch))
+        context.show(
             answer,
             [
-                call_rows(f"calls on list {number} when a later one was in force", answer.calls),
-                unknown_rows(answer.unknown),
+                calls_table(f"calls on list {number} when a later one was in force", answer.calls),
+                unknown_table(answer.unknown),
             ],
             bool(answer.calls),
         )
-    answer = query.ask(lambda stores: stores.acted(number, epoch))
+    answer = context.query(lambda stores: stores.activity(number, epoch))
     rows = [
         (
             stretch.sender,
             stretch.life,
             f"{stretch.number}@{stretch.digest[:8]}",
-            moment(stretch.from_ms),
-            "now" if stretch.open else moment(stretch.to_ms),
+            format_time(stretch.from_ms),
+            "now" if stretch.open else format_time(stretch.to_ms),
             stretch.calls,
             stretch.rejected,
             stretch.abandoned,
         )
         for stretch in answer.stretches
     ]
-    query.show(
+    context.show(
         answer,
         [
             (
@@ -224,7 +226,7 @@
                 ("sender", "life", "list", "from", "to", "calls", "rejected", "abandoned"),
                 rows,
             ),
-            unknown_rows(answer.unknown),
+            unknown_table(answer.unknown),
         ],
         False,
     )
@@ -236,14 +238,14 @@
 @click.option("--grace-ms", type=float, default=0.0, show_default=True, help="Ignore calls within this time.")
 @list_option
 @click.pass_obj
-def after(query: Asked, endpoint: str, out_at: int, grace_ms: float, epoch: str | None) -> None:
+def after(context: QueryContext, endpoint: str, out_at: int, grace_ms: float, epoch: str | None) -> None:
     """Show calls to an endpoint after its removal: sender, document, and time past the grace period."""
-    answer = query.ask(lambda stores: stores.after(endpoint, out_at, epoch, grace_ms))
-    query.show(
+    answer = context.query(lambda stores: stores.calls_after_removal(endpoint, out_at, epoch, grace_ms))
+    context.show(
         answer,
         [
-            call_rows(f"calls to {endpoint} after {moment(answer.out_ms)}", answer.calls),
-            unknown_rows(answer.unknown),
+            calls_table(f"calls to {endpoint} after {format_time(answer.out_ms)}", answer.calls),
+            unknown_table(answer.unknown),
         ],
         bool(answer.calls),
     )
@@ -252,26 +254,26 @@
 @fleet.command()
 @click.argument("doc")
 @click.pass_obj
-def document(query: Asked, doc: str) -> None:
+def document(context: QueryContext, doc: str) -> None:
     """Show every sender that began a call for a document or abandoned it, and the list it acted on."""
-    answer = query.ask(lambda stores: stores.document(doc))
-    query.show(answer, [call_rows(f"document {doc}", answer.calls), unknown_rows(answer.unknown)], False)
+    answer = context.query(lambda stores: stores.document_calls(doc))
+    context.show(answer, [calls_table(f"document {doc}", answer.calls), unknown_table(answer.unknown)], False)
 
 
 @fleet.command()
 @click.option("--minutes", type=float, default=60.0, show_default=True, help="How far to look back.")
 @click.pass_obj
-def timeline(query: Asked, minutes: float) -> None:
+def timeline(context: QueryContext, minutes: float) -> None:
     """Show events in order of time: versions, process starts and ends, gaps, findings."""
     since_ms = time.time() * 1000.0 - minutes * 60000.0
-    answer = query.ask(lambda stores: stores.timeline(since_ms))
-    query.show(
+    answer = context.query(lambda stores: stores.timeline(since_ms))
+    context.show(
         answer,
         [
             (
                 "timeline",
                 ("when", "who", "what", "detail"),
-                [(moment(event.at_ms), event.sender, event.what, event.detail) for event in answer],
+                [(format_time(event.at_ms), event.sender, event.what, event.detail) for event in answer],
             )
         ],
         False,
@@ -280,14 +282,14 @@
 
 @fleet.command()
 @click.pass_obj
-def stragglers(query: Asked) -> None:
+def stragglers(context: QueryContext) -> None:
     """Show senders judged to be behind, on a fork, of a foreign epoch, ahead, flapping or silent."""
-    answer = query.ask(lambda stores: stores.stragglers())
+    answer = context.query(lambda stores: stores.stragglers())
     rows = [
-        (verdict.sender or "the fleet", verdict.what, moment(verdict.at_ms), verdict.evidence)
+        (verdict.sender or "the fleet", verdict.what, format_time(verdict.at_ms), verdict.evidence)
         for verdict in answer
     ]
-    query.show(answer, [("stragglers", ("sender", "is", "verdict of", "evidence"), rows)], bool(answer))
+    context.show(answer, [("stragglers", ("sender", "is", "verdict of", "evidence"), rows)], bool(answer))
 
 
 @fleet.command()
@@ -299,7 +301,7 @@
     help="Ignore calls to a removed endpoint within this time.",
 )
 @click.pass_obj
-def findings(query: Asked, grace_ms: float) -> None:
+def findings(context: QueryContext, grace_ms: float) -> None:
     """Show all findings: irregularities in the fleet and its audit trails."""
-    answer = query.ask(lambda stores: stores.findings(grace_ms))
-    query.show(answer, [finding_rows(answer)], bool(answer))
+    answer = context.query(lambda stores: stores.findings(grace_ms))
+    context.show(answer, [findings_table(answer)], bool(answer))
--- a/birchstack/emulator/rig/drawn.py
+++ b/birchstack/emulator/rig/drawn.py
@@ -20,7 +20,7 @@
 from birchstack.emulator.rig.virtual import DELAY_MS, VirtualRig
 from birchstack.emulator.virtual import WALL_MS
 from birchstack.fleet.versions import Contents
-from birchstack.keeper.questions import AskError, Call, Reader, Unknown
+from birchstack.keeper.questions import Call, QueryError, StoreReader, UnknownPeriod
 
 DAY_S, REST_S = 7.0, 3.0
 EARLIER_MS = 3.0 * DELAY_MS + 5.0
@@ -275,12 +275,14 @@
         _check_keeper(day, rig, truth, seen, rig[keeper].reader(), keeper)
 
 
-def _check_keeper(day: Day, rig: VirtualRig, truth: Truth, seen: dict, reader: Reader, keeper: str) -> None:
+def _check_keeper(
+    day: Day, rig: VirtualRig, truth: Truth, seen: dict, reader: StoreReader, keeper: str
+) -> None:
     known: dict[tuple, list[Call]] = defaultdict(list)
     for each in reader._calls("c.endpoint IS NOT NULL"):
         known[each.sender, each.doc, each.endpoint].append(each)
     gaps = defaultdict(list)
-    for each in reader.unknown():
+    for each in reader.unknown_periods():
         gaps[each.sender].append(each)
     day.figures["gaps"] += sum(each.why != "not heard of since" for rows in gaps.values() for each in rows)
     may_lose = {name for name in rig.senders if _lost(rig, name)}
@@ -325,7 +327,7 @@
     return rig[name].lost_disk
 
 
-def _covered(gaps: list[Unknown], at_ms: float) -> bool:
+def _covered(gaps: list[UnknownPeriod], at_ms: float) -> bool:
     return any(each.from_ms - 20.0 <= at_ms <= each.to_ms + 50.0 for each in gaps)
 
 
@@ -346,7 +348,9 @@
     )
 
 
-def _check_totals(day: Day, rig: VirtualRig, reader: Reader, seen: dict, gaps: dict, keeper: str) -> None:
+def _check_totals(
+    day: Day, rig: VirtualRig, reader: StoreReader, seen: dict, gaps: dict, keeper: str
+) -> None:
     """All stretches together, folded ones too, come to what the endpoints saw."""
     sums = dict(reader.db.execute("SELECT sender, sum(calls) FROM stretch GROUP BY sender").fetchall())
     for name in rig.senders:
@@ -359,18 +363,18 @@
             )
 
 
-def _check_after(day: Day, rig: VirtualRig, reader: Reader, seen: dict, gaps: dict, keeper: str) -> None:
+def _check_after(day: Day, rig: VirtualRig, reader: StoreReader, seen: dict, gaps: dict, keeper: str) -> None:
     """For each endpoint taken out: exactly the calls that came to it while it was out."""
-    for published in reader.published():
+    for published in reader.published_versions():
         rows = reader.db.execute(
             "SELECT endpoint FROM change WHERE published=? AND state!='active'", (published.id,)
         ).fetchall()
         for (endpoint,) in rows:
             try:
-                told = reader.after(endpoint, published.number, published.epoch)
-            except AskError:
+                told = reader.calls_after_removal(endpoint, published.number, published.epoch)
+            except QueryError:
                 continue
-            begin, end = told.out_ms - WALL_MS, (told.in_ms or reader.now) - WALL_MS
+            begin, end = told.out_ms - WALL_MS, (told.in_ms or reader.now_ms) - WALL_MS
             named = Counter((each.sender, each.doc) for each in told.calls)
             sure, may = Counter(), Counter()  # calls under way as the news came may count or not
             for (sender, doc, uid), calls in seen.items():
--- a/birchstack/emulator/rig/virtual.py
+++ b/birchstack/emulator/rig/virtual.py
@@ -22,7 +22,7 @@
 from birchstack.fleet import settings as fleet_settings
 from birchstack.keeper import config as keeper_config
 from birchstack.keeper.process import Collector
-from birchstack.keeper.questions import Reader
+from birchstack.keeper.questions import StoreReader
 from birchstack.keeper.store import Store
 from birchstack.net.config import decode
 from birchstack.net.machine import LastingClock, Machine
@@ -181,8 +181,8 @@
         super().over(how)
         self.store.rollback()  # what was not committed was never had
 
-    def reader(self) -> Reader:
-        return Reader(self.store.db, WALL_MS + self.rig.clock.now_ms())
+    def reader(self) -> StoreReader:
+        return StoreReader(self.store.db, WALL_MS + self.rig.clock.now_ms())
 
 
 class VirtualRig:
--- a/birchstack/keeper/__main__.py
+++ b/birchstack/keeper/__main__.py
@@ -5,8 +5,8 @@
 import sys
 from pathlib import Path
 
-from birchstack.keeper.config import KeeperError, load
-from birchstack.keeper.process import serve
+from birchstack.keeper.config import ConfigError, load
+from birchstack.keeper.process import run_collector
 from birchstack.keeper.tables import StoreError
 from birchstack.net import log
 from birchstack.net.machine import Machine
@@ -18,8 +18,8 @@
         config = load(path)
         signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
         log.start()
-        asyncio.run(serve(config, Machine(), str(Path(config.store).absolute().parent)))
-    except (KeeperError, StoreError) as problem:
+        asyncio.run(run_collector(config, Machine(), str(Path(config.store).absolute().parent)))
+    except (ConfigError, StoreError) as problem:
         print(f"birchstack: keeper: {problem}", file=sys.stderr)
         return 2
     return 0
--- a/birchstack/keeper/asking.py
+++ b/birchstack/keeper/asking.py
@@ -14,10 +14,10 @@
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
 
-BODY = 2 * wire.MOST
+MAX_BODY_BYTES = 2 * wire.MOST
 
 
-class Ask:
+class PollRequest:
     """One request to a sender's audit address.
 
     after: fetch the records beyond this number.
@@ -40,7 +40,7 @@
         self._after = after
         self._on_result = on_result
         self._question = question
-        self._parser = http1.Responses(max_body=BODY)
+        self._parser = http1.Responses(max_body=MAX_BODY_BYTES)
         self._body = bytearray()
         self._link: Link | None = None
         self._sent_at = 0.0
--- a/birchstack/keeper/config.py
+++ b/birchstack/keeper/config.py
@@ -12,15 +12,15 @@
 
 from birchstack.net.driver import address
 
-Above = Annotated[float, Meta(gt=0.0)]
-Place = Annotated[str, Meta(min_length=3)]
+PositiveFloat = Annotated[float, Meta(gt=0.0)]
+AddressText = Annotated[str, Meta(min_length=3)]
 
 
-class KeeperError(Exception):
+class ConfigError(Exception):
     """The configuration file is invalid; the message names the file, the key and the problem."""
 
 
-class Sender(Struct, frozen=True, forbid_unknown_fields=True):
+class SenderConfig(Struct, frozen=True, forbid_unknown_fields=True):
     """One sender to poll.
 
     at: its audit address, which is the address for operators' calls.
@@ -28,26 +28,26 @@
     """
 
     name: str
-    at: Place
-    also: tuple[Place, ...] = ()
+    at: AddressText
+    also: tuple[AddressText, ...] = ()
 
-    def doors(self) -> tuple[str, ...]:
+    def addresses(self) -> tuple[str, ...]:
         """Returns all audit addresses of this sender."""
         return (self.at, *self.also)
 
 
-class Lists(Struct, frozen=True, forbid_unknown_fields=True):
+class ListServiceConfig(Struct, frozen=True, forbid_unknown_fields=True):
     """The list service to watch; without it the collector does not know when a version came into force.
 
     at: address of the list service.
     behind_s: a sender that is behind the newest list for longer than this is a finding.
     """
 
-    at: Place
-    behind_s: Above = 10.0
+    at: AddressText
+    behind_s: PositiveFloat = 10.0
 
 
-class Asks(Struct, frozen=True, forbid_unknown_fields=True):
+class PollConfig(Struct, frozen=True, forbid_unknown_fields=True):
     """How senders are polled.
 
     every_s: interval between polls of one address.
@@ -58,15 +58,15 @@
     signal_bytes: size limit for signals of other senders that are relayed in one poll.
     """
 
-    every_s: Above = 1.0
-    timeout_s: Above = 2.0
+    every_s: PositiveFloat = 1.0
+    timeout_s: PositiveFloat = 2.0
     most: Annotated[int, Meta(ge=1, le=4096)] = 32
-    pause_s: Above = 8.0
-    silent_s: Above = 10.0
+    pause_s: PositiveFloat = 8.0
+    silent_s: PositiveFloat = 10.0
     signal_bytes: Annotated[int, Meta(ge=64, le=3072)] = 250
 
 
-class Keeper(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class CollectorConfig(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Configuration of one collector.
 
     store: path of the SQLite store.
@@ -75,24 +75,24 @@
 
     name: str
     store: str
-    senders: tuple[Sender, ...]
-    lists: Lists | None = None
-    asks: Asks = Asks()
+    senders: tuple[SenderConfig, ...]
+    lists: ListServiceConfig | None = None
+    asks: PollConfig = PollConfig()
     store_mb: Annotated[float, Meta(ge=0.2)] = 4096.0
 
 
-def decode(text: bytes, path: str) -> Keeper:
+def decode(text: bytes, path: str) -> CollectorConfig:
     """Parses and validates a configuration; path is used in error messages only."""
     try:
-        config = msgspec.toml.decode(text, type=Keeper)
+        config = msgspec.toml.decode(text, type=CollectorConfig)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-        raise KeeperError(f"{path}: {problem}") from problem
+        raise ConfigError(f"{path}: {problem}") from problem
     owners: dict[str, str] = {}
     for index, sender in enumerate(config.senders):
-        for audit_address in sender.doors():
+        for audit_address in sender.addresses():
             _check_address(audit_address, f"{path}: `$.senders[{index}].at`")
             if audit_address in owners:
-                raise KeeperError(
+                raise ConfigError(
                     f"{path}: `$.senders[{index}].at`: {audit_address} is an address of "
                     f"{owners[audit_address]} already"
                 )
@@ -106,13 +106,13 @@
     try:
         address(text)
     except ValueError as problem:
-        raise KeeperError(f"{key}: {problem}") from problem
+        raise ConfigError(f"{key}: {problem}") from problem
 
 
-def load(path: str) -> Keeper:
+def load(path: str) -> CollectorConfig:
     """Reads the configuration file at path."""
     try:
         with open(path, "rb") as file:
             return decode(file.read(), path)
     except OSError as problem:
-        raise KeeperError(f"{path}: {problem.strerror}") from problem
+        raise ConfigError(f"{path}: {problem.strerror}") from problem
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -16,9 +16,9 @@
 
 from birchstack.fleet import lag, wire
 from birchstack.fleet.versions import FIRST, LIST, SAME, Contents, Version, compare
-from birchstack.keeper.asking import Ask
-from birchstack.keeper.collect import Rounds
-from birchstack.keeper.config import Keeper
+from birchstack.keeper.asking import PollRequest
+from birchstack.keeper.collect import PollSchedule
+from birchstack.keeper.config import CollectorConfig
 from birchstack.keeper.relay import Relay
 from birchstack.keeper.store import Store
 from birchstack.net.discovery import Watch
@@ -26,10 +26,10 @@
 from birchstack.net.log import say
 from birchstack.net.machine import LastingClock, Machine
 
-COMMIT_S = 0.1  # answers that arrive within this time share one transaction
-FULL_S = 5.0  # no polls for this long after a failed write
-REPORT_S = 60.0  # interval of the log line with the counters
-JUDGE_S = 0.5  # interval of the verdicts on all senders
+COMMIT_DELAY_S = 0.1  # answers that arrive within this time share one transaction
+WRITE_RETRY_S = 5.0  # no polls for this long after a failed write
+LOG_INTERVAL_S = 60.0  # interval of the log line with the counters
+VERDICT_INTERVAL_S = 0.5  # interval of the verdicts on all senders
 log = logging.getLogger(__name__)
 
 
@@ -38,27 +38,27 @@
 
     def __init__(
         self,
-        told: Keeper,
+        config: CollectorConfig,
         loop: asyncio.AbstractEventLoop,
         store: Store,
         machine: Machine,
         clock: LastingClock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        self._config = told
+        self._config = config
         self._loop = loop
         self._store = store
         self._machine = machine
         self._clock = clock
         self._sender_names = {
-            audit_address: sender.name for sender in told.senders for audit_address in sender.doors()
+            audit_address: sender.name for sender in config.senders for audit_address in sender.addresses()
         }
-        asks = told.asks
-        self._schedule = Rounds(
-            [*self._sender_names], loop.time(), asks.every_s, asks.pause_s, asks.most, chance
+        polling = config.asks
+        self._schedule = PollSchedule(
+            [*self._sender_names], loop.time(), polling.every_s, polling.pause_s, polling.most, rng
         )
-        self._relay = Relay(asks.signal_bytes)
-        self._polls: dict[str, Ask] = {}
+        self._relay = Relay(polling.signal_bytes)
+        self._polls: dict[str, PollRequest] = {}
         self._poll_timer: asyncio.TimerHandle | None = None
         self._commit_timer: asyncio.TimerHandle | None = None
         self._paused_until = 0.0  # no polls before this time, after a failed write
@@ -70,12 +70,12 @@
         self._turns = lag.Turns()
         self._verdicts = {}
         self._started_ms = clock.ms()
-        self.ended = loop.create_future()
+        self.finished = loop.create_future()
 
     def start(self) -> None:
         """Starts polling, the watch of the list service and the periodic tasks."""
         self._machine.on_signals(self._loop, self.stop, lambda: None)
-        self._latest_list, self._latest_states = self._store.newest()
+        self._latest_list, self._latest_states = self._store.latest_list()
         if self._config.lists:
             self._watch = Watch(
                 self._loop, address(self._config.lists.at), (), lambda mode, listed: None, self._on_list
@@ -88,13 +88,13 @@
             doors=len(self._sender_names),
             store=self._config.store,
         )
-        self._loop.call_later(REPORT_S, self._log_counts)
-        self._loop.call_later(JUDGE_S, self._update_verdicts)
+        self._loop.call_later(LOG_INTERVAL_S, self._log_counts)
+        self._loop.call_later(VERDICT_INTERVAL_S, self._update_verdicts)
         self._poll()
 
     def stop(self) -> None:
-        """Cancels polls and timers, commits, and completes `ended`."""
-        if self.ended.done():
+        """Cancels polls and timers, commits, and completes `finished`."""
+        if self.finished.done():
             return
         for poll in [*self._polls.values()]:
             poll.stop()
@@ -105,72 +105,78 @@
                 timer.cancel()
         self._commit()
         say(log, "ended", **self._counts, **self._relay.counts)
-        self.ended.set_result(None)
+        self.finished.set_result(None)
 
     def _log_counts(self) -> None:
         say(log, "state", out=len(self._polls), **self._counts, **self._relay.counts)
-        self._loop.call_later(REPORT_S, self._log_counts)
+        self._loop.call_later(LOG_INTERVAL_S, self._log_counts)
 
     # Polling
 
     def _poll(self) -> None:
         """Starts the polls that are due and sets the timer for the next ones."""
-        if self.ended.done():
+        if self.finished.done():
             return
         now = self._loop.time()
         if now >= self._paused_until:
-            for audit_address in self._schedule.due(now):
+            for audit_address in self._schedule.take_due(now):
                 self._counts["asked"] += 1
-                self._polls[audit_address] = Ask(
+                self._polls[audit_address] = PollRequest(
                     self._loop,
                     address(audit_address),
-                    self._store.wanted(audit_address),
+                    self._store.resume_after(audit_address),
                     self._relay.question(audit_address, self._machine.steady_ms()),
                     self._config.asks.timeout_s,
                     partial(self._on_answer, audit_address),
                 )
-        due = max(self._schedule.next() or now + 1.0, self._paused_until)
+        due = max(self._schedule.next_due() or now + 1.0, self._paused_until)
         if self._poll_timer:
             self._poll_timer.cancel()
         self._poll_timer = self._loop.call_later(max(0.001, due - now), self._poll)
 
-    def _on_answer(self, at: str, answer: wire.Piece | None, sent_at: float, problem: str) -> None:
+    def _on_answer(self, audit_address: str, answer: wire.Piece | None, sent_at: float, problem: str) -> None:
         """Stores the answer of a poll, or records its failure, and goes on polling."""
-        self._polls.pop(at, None)
+        self._polls.pop(audit_address, None)
         now = self._loop.time()
-        if answer is not None and answer.name != self._sender_names.get(at):
-            self._store.found(
+        if answer is not None and answer.name != self._sender_names.get(audit_address):
+            self._store.add_finding(
                 "wrong door",
-                self._sender_names.get(at, ""),
-                f"{at} answers as {answer.name}",
+                self._sender_names.get(audit_address, ""),
+                f"{audit_address} answers as {answer.name}",
                 self._clock.ms(),
             )
         if answer is None:
             self._counts["failed"] += 1
-            log.debug("no answer", extra={"words": {"at": at, "problem": problem}})
-            self._schedule.failed(at, now)
+            log.debug("no answer", extra={"words": {"at": audit_address, "problem": problem}})
+            self._schedule.failed(audit_address, now)
         else:
             self._counts["answered"] += 1
             round_trip_ms = (now - sent_at) * 1000.0
             steady_ms = self._machine.steady_ms()
-            self._relay.answered(
-                at, self._sender_names.get(at, ""), answer, steady_ms - round_trip_ms, steady_ms
+            self._relay.handle_answer(
+                audit_address,
+                self._sender_names.get(audit_address, ""),
+                answer,
+                steady_ms - round_trip_ms,
+                steady_ms,
             )
             answer = msgspec.structs.replace(answer, signals=b"")  # signals expire, so they are not stored
             # the sender's clock was read somewhere between request and answer: assume the middle
             half_round_trip_ms = (now - sent_at) * 500.0
             try:
-                more = self._store.take(at, answer, self._clock.ms() - half_round_trip_ms, half_round_trip_ms)
+                more = self._store.store_answer(
+                    audit_address, answer, self._clock.ms() - half_round_trip_ms, half_round_trip_ms
+                )
             except sqlite3.Error as error:
                 self._write_failed(error)
                 more = False
-            self._schedule.answered(at, now, more)
+            self._schedule.answered(audit_address, now, more)
             self._schedule_commit()
         self._poll()
 
     def _schedule_commit(self) -> None:
         if self._commit_timer is None:
-            self._commit_timer = self._loop.call_later(COMMIT_S, self._commit)
+            self._commit_timer = self._loop.call_later(COMMIT_DELAY_S, self._commit)
 
     def _commit(self) -> None:
         self._commit_timer = None
@@ -183,9 +189,9 @@
         Records received since the last commit are fetched again by later polls.
         """
         self._store.rollback()
-        self._latest_list, self._latest_states = self._store.newest()
+        self._latest_list, self._latest_states = self._store.latest_list()
         self._counts["commits_failed"] += 1
-        self._paused_until = self._loop.time() + FULL_S
+        self._paused_until = self._loop.time() + WRITE_RETRY_S
         if self._counts["commits_failed"] in (1, 10, 100) or self._counts["commits_failed"] % 1000 == 0:
             say(
                 log,
@@ -199,9 +205,9 @@
 
     def _update_verdicts(self) -> None:
         """Judges the staleness of every sender and stores each change of a verdict with its evidence."""
-        if self.ended.done():
+        if self.finished.done():
             return
-        self._loop.call_later(JUDGE_S, self._update_verdicts)
+        self._loop.call_later(VERDICT_INTERVAL_S, self._update_verdicts)
         now = self._clock.ms()
         bounds = lag.Bounds(
             self._config.lists.behind_s * 1000.0 if self._config.lists else lag.Bounds.behind_ms,
@@ -209,16 +215,16 @@
         )
         if now - self._started_ms < bounds.silent_ms:
             return  # too early to tell a silent sender from one that was not polled yet
-        heard = now - self._watch.silent_ms() if self._watch else None
-        versions = tuple((Version(LIST, *fields), at_ms) for *fields, at_ms in self._store.given())
-        view = lag.judge(self._sightings(), lag.Given(versions, heard), now, bounds, self._turns)
+        list_heard_ms = now - self._watch.silent_ms() if self._watch else None
+        versions = tuple((Version(LIST, *fields), at_ms) for *fields, at_ms in self._store.recent_versions())
+        view = lag.judge(self._sightings(), lag.Given(versions, list_heard_ms), now, bounds, self._turns)
         verdicts = {"": (view.fleet, view.evidence, 0.0)}
         verdicts.update(
             (verdict.sender, (verdict.what, verdict.evidence, verdict.since_ms)) for verdict in view.verdicts
         )
         for sender, (what, evidence, since_ms) in verdicts.items():
             if self._verdicts.get(sender, lag.WELL) != what:
-                self._store.judged(sender, what, evidence, since_ms, now)
+                self._store.add_verdict(sender, what, evidence, since_ms, now)
                 say(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
                 self._schedule_commit()
             self._verdicts[sender] = what
@@ -228,7 +234,7 @@
         latest: dict[str, lag.Sighting] = {
             name: lag.Sighting(name, None) for name in self._sender_names.values()
         }
-        for audit_address, _, answered_ms, encoded in self._store.doors():
+        for audit_address, _, answered_ms, encoded in self._store.last_answers():
             name = self._sender_names.get(audit_address)
             if name is None or answered_ms is None or encoded is None:
                 continue
@@ -259,19 +265,19 @@
         self._latest_list = version
         self._latest_states = dict(contents.states)
         try:
-            self._store.publish(version, order, changes, self._clock.ms())
+            self._store.add_published(version, order, changes, self._clock.ms())
         except sqlite3.Error as problem:
             self._write_failed(problem)
         self._schedule_commit()
         return True
 
 
-async def serve(told: Keeper, machine: Machine, folder: str) -> None:
+async def run_collector(config: CollectorConfig, machine: Machine, folder: str) -> None:
     """Runs a collector until it is stopped; folder holds its clock's state."""
     loop = asyncio.get_running_loop()
-    store = Store(told.store, told.store_mb)
+    store = Store(config.store, config.store_mb)
     collector = Collector(
-        told,
+        config,
         loop,
         store,
         machine,
@@ -280,6 +286,6 @@
     )
     collector.start()
     try:
-        await collector.ended
+        await collector.finished
     finally:
         store.close()
--- a/birchstack/keeper/questions.py
+++ b/birchstack/keeper/questions.py
@@ -17,14 +17,15 @@
 from birchstack.fleet import lag, wire
 from birchstack.fleet.versions import LIST, Version
 
-SLACK_MS = 50.0  # time for a new version to travel from the list service to the collector or a sender
+# Time for a new version to travel from the list service to the collector or to a sender.
+PROPAGATION_ALLOWANCE_MS = 50.0
 
 
-class AskError(Exception):
+class QueryError(Exception):
     """A query cannot be answered; the message says why."""
 
 
-class Unknown(msgspec.Struct, frozen=True, order=True):
+class UnknownPeriod(msgspec.Struct, frozen=True, order=True):
     """A period for which nothing, or less than was queried, is known of a sender.
 
     calls: how many calls are known to have begun in it without being named; -1 if the number is unknown too.
@@ -75,32 +76,37 @@
     past_ms: float = 0.0
 
 
-class Acted(msgspec.Struct, frozen=True):
+class ActivityAnswer(msgspec.Struct, frozen=True):
     """The senders that acted on a version, and the periods for which this is unknown."""
 
     stretches: list[Stretch]
-    unknown: list[Unknown]
+    unknown: list[UnknownPeriod]
 
 
-class Calls(msgspec.Struct, frozen=True):
+class CallsAnswer(msgspec.Struct, frozen=True):
     """The calls that match a query, and the periods for which they are unknown.
 
     out_ms, in_ms: start and end of the period queried; in_ms 0 means up to now.
     """
 
     calls: list[Call]
-    unknown: list[Unknown]
+    unknown: list[UnknownPeriod]
     out_ms: float = 0.0
     in_ms: float = 0.0
 
 
-class Sender(msgspec.Struct, frozen=True, order=True):
-    """Status of one sender process.
+class SenderStatus(msgspec.Struct, frozen=True, order=True):
+    """Status of one sender process, from its last answer.
 
-    age_ms: age of the stored records, from when they were last complete.
+    at: its audit address.
+    holds: it holds the sender's folder and acts; a process that does not is waiting to take over.
     behind: number of versions by which its list is behind the newest.
     behind_ms: for how long there has been a newer version.
-    -1 stands for an unknown value: no list was published, or the sender has not answered.
+    age_ms: age of the stored records, from when they were last complete.
+    answered_ms: time since that answer.
+    heard_ms: time since its watch of the list service received anything, as of that answer.
+    failing: it was losing audit records.
+    -1 stands for an unknown value: no list was published, or the process has not answered.
     """
 
     sender: str
@@ -148,7 +154,7 @@
     detail: str
 
 
-class Published(msgspec.Struct, frozen=True):
+class PublishedVersion(msgspec.Struct, frozen=True):
     """A list version that the list service published while the collector watched it."""
 
     id: int
@@ -164,7 +170,7 @@
         return Version(LIST, self.source, self.epoch, self.number, self.digest)
 
 
-class Reader:
+class StoreReader:
     """Read-only queries on the store of one collector."""
 
     def __init__(
@@ -175,9 +181,9 @@
         silent_ms, behind_ms: how long an answer or a new version may take before it becomes a finding.
         """
         self.db = db
-        self.now = now_ms
-        self.silent = silent_ms
-        self.behind = behind_ms
+        self.now_ms = now_ms
+        self.silent_ms = silent_ms
+        self.behind_ms = behind_ms
         self._clocks = {
             boot: (offset_ms, error_ms)
             for boot, offset_ms, error_ms in self._rows("SELECT boot, offset_ms, error_ms FROM clock")
@@ -187,7 +193,7 @@
     def _rows(self, sql: str, *parameters: object) -> list[tuple]:
         return self.db.execute(sql, parameters).fetchall()
 
-    def at(self, boot: str, steady_ms: float) -> float:
+    def to_collector_ms(self, boot: str, steady_ms: float) -> float:
         """Converts a sender's steady-clock time to the collector's time.
 
         For a boot that no answer came from, the offset is that of the sender's own wall clock.
@@ -195,39 +201,45 @@
         offset_ms, _ = self._clocks.get(boot, (self._wall_offsets.get(boot, 0.0), 0.0))
         return steady_ms + offset_ms
 
-    def steady(self, boot: str, at_ms: float) -> float:
+    def to_steady_ms(self, boot: str, at_ms: float) -> float:
         """Converts the collector's time to the steady clock of a boot."""
-        return at_ms - self.at(boot, 0.0)
+        return at_ms - self.to_collector_ms(boot, 0.0)
 
     # Unknown periods
 
-    def unknown(
-        self, from_ms: float = 0.0, to_ms: float | None = None, singles: bool = True
-    ) -> list[Unknown]:
+    def unknown_periods(
+        self, from_ms: float = 0.0, to_ms: float | None = None, single_calls: bool = True
+    ) -> list[UnknownPeriod]:
         """Returns the unknown periods that overlap from_ms to to_ms.
 
-        singles: the query is about single calls, so periods of which only totals are known count too.
+        single_calls: the query is about single calls, so periods of which only totals are known count too.
         """
-        to_ms = self.now if to_ms is None else to_ms
+        to_ms = self.now_ms if to_ms is None else to_ms
         found = []
         for sender, boot, begin, end, why, calls, totals in self._rows(
             "SELECT sender, boot, from_ms, to_ms, why, calls, totals FROM gap"
         ):
-            if not totals or singles:
-                found.append(Unknown(sender, self.at(boot, begin), self.at(boot, end), why, calls))
+            if not totals or single_calls:
+                found.append(
+                    UnknownPeriod(
+                        sender, self.to_collector_ms(boot, begin), self.to_collector_ms(boot, end), why, calls
+                    )
+                )
         for sender, boot, complete in self._rows(
             "SELECT sender, boot, max(complete_ms) FROM door WHERE sender IS NOT NULL "
             "AND complete_ms IS NOT NULL GROUP BY sender, boot"
         ):
-            found.append(Unknown(sender, self.at(boot, complete), self.now, "not heard of since"))
+            found.append(
+                UnknownPeriod(sender, self.to_collector_ms(boot, complete), self.now_ms, "not heard of since")
+            )
         known_senders = {
             row[0] for row in self._rows("SELECT DISTINCT sender FROM door WHERE complete_ms NOT NULL")
         }
         for address, sender in self._rows("SELECT at, sender FROM door"):
             if sender not in known_senders:
-                found.append(Unknown(sender or address, 0.0, self.now, "never heard of"))
+                found.append(UnknownPeriod(sender or address, 0.0, self.now_ms, "never heard of"))
         # Of each sender only the latest boot counts as not heard of since: after an earlier boot it went on.
-        latest: dict[str, Unknown] = {}
+        latest: dict[str, UnknownPeriod] = {}
         for period in sorted(found, key=lambda period: period.from_ms):
             if period.why == "not heard of since":
                 latest[period.sender] = period
@@ -243,26 +255,26 @@
 
     # Published versions
 
-    def published(self) -> list[Published]:
+    def published_versions(self) -> list[PublishedVersion]:
         """Returns all published list versions, oldest first."""
         return [
-            Published(*row)
+            PublishedVersion(*row)
             for row in self._rows(
                 "SELECT id, epoch, number, digest, ord, source, at_ms FROM published ORDER BY id"
             )
         ]
 
-    def of_number(self, number: int, epoch: str | None) -> list[Published]:
+    def versions_numbered(self, number: int, epoch: str | None) -> list[PublishedVersion]:
         """Returns the published versions with this number, of one epoch or (None) of all."""
         return [
             version
-            for version in self.published()
+            for version in self.published_versions()
             if version.number == number and (epoch is None or version.epoch == epoch)
         ]
 
     # Queries
 
-    def acted(self, number: int, epoch: str | None = None) -> Acted:
+    def activity(self, number: int, epoch: str | None = None) -> ActivityAnswer:
         """Returns which senders acted on a list version, from when to when, with their totals."""
         open_stretches = {
             (branch, msgspec.msgpack.decode(state)[4])
@@ -302,8 +314,8 @@
             found.append(
                 Stretch(
                     sender,
-                    self.at(boot, begin),
-                    self.at(boot, end),
+                    self.to_collector_ms(boot, begin),
+                    self.to_collector_ms(boot, end),
                     life,
                     stretch_epoch,
                     number,
@@ -319,18 +331,26 @@
                 )
             )
         mixed = [
-            Unknown(sender or "?", self.at(boot, begin), self.at(boot, end), "stretches put together", calls)
+            UnknownPeriod(
+                sender or "?",
+                self.to_collector_ms(boot, begin),
+                self.to_collector_ms(boot, end),
+                "stretches put together",
+                calls,
+            )
             for sender, boot, begin, end, calls in self._rows(
                 "SELECT sender, boot, from_ms, to_ms, calls FROM stretch WHERE mixed AND list IS NULL"
             )
         ]
-        begin = min((version.at_ms for version in self.of_number(number, epoch)), default=0.0)
-        return Acted(sorted(found), sorted({*self.unknown(begin, singles=False), *mixed}))
+        begin = min((version.at_ms for version in self.versions_numbered(number, epoch)), default=0.0)
+        return ActivityAnswer(
+            sorted(found), sorted({*self.unknown_periods(begin, single_calls=False), *mixed})
+        )
 
     def _calls(self, where: str, *parameters: object) -> list[Call]:
         """Returns the calls that match an SQL condition on call c and stretch s."""
         return [
-            Call(self.at(boot, steady_ms), sender, doc, endpoint, epoch, number, digest, life)
+            Call(self.to_collector_ms(boot, steady_ms), sender, doc, endpoint, epoch, number, digest, life)
             for steady_ms, sender, doc, endpoint, epoch, number, digest, life, boot in self._rows(
                 "SELECT c.at_ms, s.sender, c.doc, c.endpoint, s.epoch, s.list, s.digest, s.life, s.boot "
                 f"FROM call c JOIN stretch s ON s.id=c.stretch WHERE {where}",
@@ -338,15 +358,17 @@
             )
         ]
 
-    def after(self, endpoint: str, out_at: int, epoch: str | None = None, grace_ms: float = 0.0) -> Calls:
+    def calls_after_removal(
+        self, endpoint: str, removed_by: int, epoch: str | None = None, grace_ms: float = 0.0
+    ) -> CallsAnswer:
         """Returns calls to an endpoint that began after a list version had removed it.
 
-        out_at: the version that removed the endpoint.
+        removed_by: the version that removed the endpoint.
         grace_ms: calls within this time after that version came into force do not count. The period queried
         ends when a later version adds the endpoint again.
         """
         changes = [
-            (Published(*row[:-1]), row[-1])
+            (PublishedVersion(*row[:-1]), row[-1])
             for row in self._rows(
                 "SELECT p.id, p.epoch, p.number, p.digest, p.ord, p.source, p.at_ms, c.state FROM change c "
                 "JOIN published p ON p.id=c.published WHERE c.endpoint=? ORDER BY p.id",
@@ -356,67 +378,69 @@
         removals = [
             version
             for version, state in changes
-            if version.number == out_at
+            if version.number == removed_by
             and state in ("leaving", "left")
             and (epoch is None or version.epoch == epoch)
         ]
         if not removals:
             listed = ", ".join(f"{version.number}: {state}" for version, state in changes) or "none"
-            raise AskError(f"{endpoint} was not taken out by list {out_at} (its changes: {listed})")
+            raise QueryError(f"{endpoint} was not taken out by list {removed_by} (its changes: {listed})")
         removal = removals[0]
         restored_ms = next(
             (version.at_ms for version, state in changes if version.id > removal.id and state == "active"),
             0.0,
         )
         begin = removal.at_ms + grace_ms
-        end = restored_ms or self.now
+        end = restored_ms or self.now_ms
         found = []
         for boot in {row[0] for row in self._rows("SELECT DISTINCT boot FROM stretch")}:
             found += self._calls(
                 "c.endpoint=? AND s.boot=? AND c.at_ms > ? AND c.at_ms < ?",
                 endpoint,
                 boot,
-                self.steady(boot, begin),
-                self.steady(boot, end),
+                self.to_steady_ms(boot, begin),
+                self.to_steady_ms(boot, end),
             )
         calls = [msgspec.structs.replace(call, past_ms=call.at_ms - begin) for call in found]
-        return Calls(sorted(calls), self.unknown(begin, end), begin, restored_ms)
+        return CallsAnswer(sorted(calls), self.unknown_periods(begin, end), begin, restored_ms)
 
-    def document(self, doc: str) -> Calls:
+    def document_calls(self, doc: str) -> CallsAnswer:
         """Returns every call for a document, and every sender that abandoned it."""
-        return Calls(sorted(self._calls("c.doc=?", doc)), self.unknown())
+        return CallsAnswer(sorted(self._calls("c.doc=?", doc)), self.unknown_periods())
 
-    def late(self, number: int, epoch: str | None = None, slack_ms: float = SLACK_MS) -> Calls:
-        """Returns calls that began on a version when a later one had been in force for slack_ms."""
-        published = self.published()
+    def late_calls(
+        self, number: int, epoch: str | None = None, allowance_ms: float = PROPAGATION_ALLOWANCE_MS
+    ) -> CallsAnswer:
+        """Returns calls that began on a version when a later one had been in force for allowance_ms."""
+        published = self.published_versions()
         matching = [
             index
             for index, version in enumerate(published)
             if version.number == number and (epoch is None or version.epoch == epoch)
         ]
         if not matching:
-            raise AskError(f"list {number} was never given out while this keeper followed the list service")
+            raise QueryError(f"list {number} was never given out while this keeper followed the list service")
         if matching[-1] + 1 == len(published):
-            return Calls([], [])  # it is still in force
-        begin = published[matching[-1] + 1].at_ms + slack_ms
+            return CallsAnswer([], [])  # it is still in force
+        begin = published[matching[-1] + 1].at_ms + allowance_ms
         found = []
         for boot in {row[0] for row in self._rows("SELECT DISTINCT boot FROM stretch")}:
             found += self._calls(
                 "s.list=? AND s.boot=? AND c.at_ms > ? AND c.endpoint IS NOT NULL",
                 number,
                 boot,
-                self.steady(boot, begin),
+                self.to_steady_ms(boot, begin),
             )
         calls = [
             msgspec.structs.replace(call, past_ms=call.at_ms - begin)
             for call in found
             if epoch is None or call.epoch == epoch
         ]
-        return Calls(sorted(calls), self.unknown(begin), begin)
+        return CallsAnswer(sorted(calls), self.unknown_periods(begin), begin)
 
-    def status(self) -> list[Sender]:
+    def status(self) -> list[SenderStatus]:
         """Returns the status of the process at each polled address, from its last answer."""
-        published = self.published()
+        published = self.published_versions()
         found = []
         newest = published[-1] if published else None
         for address, sender, boot, complete, answered_ms, encoded in self._rows(
@@ -424,7 +448,7 @@
         ):
             if encoded is None:
                 found.append(
-                    Sender(
+                    SenderStatus(
                         sender or "?",
                         address,
                         "",
@@ -447,7 +471,7 @@
             list_version = answer.versions.get(LIST)
             behind, behind_ms = self._behind(published, newest, list_version)
             found.append(
-                Sender(
+                SenderStatus(
                     sender,
                     address,
                     answer.life,
@@ -456,8 +480,8 @@
                     str(list_version) if list_version else "none",
                     behind,
                     behind_ms,
-                    self.now - self.at(boot, complete) if complete else -1.0,
-                    self.now - answered_ms,
+                    self.now_ms - self.to_collector_ms(boot, complete) if complete else -1.0,
+                    self.now_ms - answered_ms,
                     answer.heard_ms,
                     answer.failing,
                     *(
@@ -470,7 +494,7 @@
         return sorted(found)
 
     def _behind(
-        self, published: list[Published], newest: Published | None, held: Version | None
+        self, published: list[PublishedVersion], newest: PublishedVersion | None, held: Version | None
     ) -> tuple[int, float]:
         """Returns by how many versions and for how long (ms) a list is behind the newest."""
         if newest is None:
@@ -490,7 +514,7 @@
         since_ms = published[held_index + 1 if held_index is not None else 0].at_ms
         return (
             len(published) - 1 - held_index if held_index is not None else len(published),
-            self.now - since_ms,
+            self.now_ms - since_ms,
         )
 
     def verdicts(self) -> list[Verdict]:
@@ -509,21 +533,25 @@
         """Returns all events between two times, oldest first."""
         found = [
             TimelineEvent(version.at_ms, "list service", "published", f"{version.version()} {version.ord}")
-            for version in self.published()
+            for version in self.published_versions()
         ]
         for sender, boot, steady_ms, life in self._rows("SELECT sender, boot, steady_ms, life FROM life"):
-            found.append(TimelineEvent(self.at(boot, steady_ms), sender, "began", f"life {life}"))
+            found.append(
+                TimelineEvent(self.to_collector_ms(boot, steady_ms), sender, "began", f"life {life}")
+            )
         for sender, boot, steady_ms, life in self._rows(
             "SELECT sender, boot, ended_ms, life FROM life WHERE ended_ms IS NOT NULL"
         ):
-            found.append(TimelineEvent(self.at(boot, steady_ms), sender, "ended", f"life {life}"))
+            found.append(
+                TimelineEvent(self.to_collector_ms(boot, steady_ms), sender, "ended", f"life {life}")
+            )
         for sender, boot, steady_ms, kind, origin, epoch, number, digest, order, source, taken in self._rows(
             "SELECT sender, boot, steady_ms, kind, origin, epoch, version, digest, ord, source, taken "
             "FROM adoption"
         ):
             found.append(
                 TimelineEvent(
-                    self.at(boot, steady_ms),
+                    self.to_collector_ms(boot, steady_ms),
                     sender,
                     "adopted" if taken else "did not take",
                     f"{kind} {Version(kind, origin, epoch, number, digest)} {order} from {source}",
@@ -535,7 +563,7 @@
             )
             for verdict in self.verdicts()
         ]
-        for period in self.unknown():
+        for period in self.unknown_periods():
             found.append(
                 TimelineEvent(
                     period.from_ms,
@@ -548,7 +576,7 @@
             TimelineEvent(finding.at_ms, finding.sender, "finding", f"{finding.kind}: {finding.detail}")
             for finding in self.findings()
         ]
-        to_ms = self.now if to_ms is None else to_ms
+        to_ms = self.now_ms if to_ms is None else to_ms
         return sorted(event for event in found if from_ms <= event.at_ms <= to_ms)
 
     def findings(self, grace_ms: float = 2000.0) -> list[Finding]:
@@ -557,7 +585,7 @@
         grace_ms: how long after the removal of an endpoint calls to it are no finding.
         """
         found = [Finding(*row) for row in self._rows("SELECT kind, sender, detail, at_ms FROM finding")]
-        published = self.published()
+        published = self.published_versions()
         digests = {(version.epoch, version.number, version.digest) for version in published}
         numbers = {(version.epoch, version.number) for version in published}
         for sender, epoch, number, digest, boot, steady_ms in self._rows(
@@ -570,21 +598,21 @@
                         "contents differ",
                         sender,
                         f"list {number}@{digest[:8]} is not what the list service gave out under that number",
-                        self.at(boot, steady_ms),
+                        self.to_collector_ms(boot, steady_ms),
                     )
                 )
         for status in self.status():
-            if status.answered_ms < 0.0 or status.answered_ms > self.silent:
-                found.append(Finding("silent", status.sender, f"{status.at} has not answered", self.now))
-            elif status.holds and status.behind and status.behind_ms > self.behind:
-                watch = ", its watch beats" if status.heard_ms < self.behind else ""
+            if status.answered_ms < 0.0 or status.answered_ms > self.silent_ms:
+                found.append(Finding("silent", status.sender, f"{status.at} has not answered", self.now_ms))
+            elif status.holds and status.behind and status.behind_ms > self.behind_ms:
+                watch = ", its watch beats" if status.heard_ms < self.behind_ms else ""
                 found.append(
                     Finding(
                         "behind",
                         status.sender,
                         f"acts on {status.list}, {status.behind} behind for "
                         f"{status.behind_ms / 1000.0:.0f} s{watch}",
-                        self.now,
+                        self.now_ms,
                     )
                 )
         found += self._called_after_removal(grace_ms)
@@ -601,7 +629,7 @@
             if endpoint in seen:
                 continue
             seen.add(endpoint)
-            answer = self.after(endpoint, number, epoch, grace_ms)
+            answer = self.calls_after_removal(endpoint, number, epoch, grace_ms)
             for sender in sorted({call.sender for call in answer.calls}):
                 calls = [call for call in answer.calls if call.sender == sender]
                 found.append(
@@ -621,44 +649,46 @@
     """Queries on the stores of one or several collectors, merged into one answer."""
 
     def __init__(self, paths: list[str], now_ms: float | None = None, **options: float) -> None:
-        """Opens the stores; options are passed on to each Reader."""
+        """Opens the stores; options are passed on to each StoreReader."""
         self.readers = []
         for path in paths:
             try:
                 db = sqlite3.connect(f"file:{path}?mode=ro", uri=True)
                 db.execute("SELECT 1 FROM meta")
             except sqlite3.Error as problem:
-                raise AskError(f"{path}: {problem}") from problem
-            self.readers.append(Reader(db, time.time() * 1000.0 if now_ms is None else now_ms, **options))
+                raise QueryError(f"{path}: {problem}") from problem
+            self.readers.append(
+                StoreReader(db, time.time() * 1000.0 if now_ms is None else now_ms, **options)
+            )
 
-    def _each(self, query: Callable[[Reader], object]) -> list:
+    def _query_all(self, query: Callable[[StoreReader], object]) -> list:
         """Runs a query on every store and returns the answers; fails only where no store can answer."""
         found = []
         problem = None
         for reader in self.readers:
             try:
                 found.append(query(reader))
-            except AskError as error:
+            except QueryError as error:
                 problem = error
         if not found:
             raise problem
         return found
 
-    def acted(self, number: int, epoch: str | None = None) -> Acted:
-        """Merges Reader.acted(): of one stretch, the answer with the most calls counts."""
-        answers = self._each(lambda reader: reader.acted(number, epoch))
+    def activity(self, number: int, epoch: str | None = None) -> ActivityAnswer:
+        """Merges StoreReader.activity(): of one stretch, the answer with the most calls counts."""
+        answers = self._query_all(lambda reader: reader.activity(number, epoch))
         best: dict[tuple, Stretch] = {}
         for stretch in (stretch for answer in answers for stretch in answer.stretches):
             key = stretch.sender, stretch.life, stretch.digest, round(stretch.from_ms / 1000.0)
             known = best.get(key)
             if known is None or (stretch.calls, stretch.to_ms) > (known.calls, known.to_ms):
                 best[key] = stretch
-        return Acted(sorted(best.values()), both([answer.unknown for answer in answers]))
+        return ActivityAnswer(sorted(best.values()), common_unknown([answer.unknown for answer in answers]))
 
-    def _merge_calls(self, answers: list[Calls]) -> Calls:
+    def _merge_calls(self, answers: list[CallsAnswer]) -> CallsAnswer:
         """Merges calls: each counts once, and is known if any store has it.
 
-        A document may go to one endpoint more than once, so calls are told apart by their ordinal too.
+        A document may go to one endpoint more than once, so calls are answers apart by their ordinal too.
         """
         best: dict[tuple, Call] = {}
         counts: dict[tuple, int] = {}
@@ -671,40 +701,48 @@
                     best[(*key, answer_counts[key])] = call
             for key, count in answer_counts.items():
                 counts[key] = max(counts.get(key, 0), count)
-        return Calls(
+        return CallsAnswer(
             sorted(best.values()),
-            both([answer.unknown for answer in answers]),
+            common_unknown([answer.unknown for answer in answers]),
             min(answer.out_ms for answer in answers),
             max(answer.in_ms for answer in answers),
         )
 
-    def after(self, endpoint: str, out_at: int, epoch: str | None = None, grace_ms: float = 0.0) -> Calls:
-        """Merges Reader.after()."""
-        return self._merge_calls(self._each(lambda reader: reader.after(endpoint, out_at, epoch, grace_ms)))
+    def calls_after_removal(
+        self, endpoint: str, removed_by: int, epoch: str | None = None, grace_ms: float = 0.0
+    ) -> CallsAnswer:
+        """Merges StoreReader.calls_after_removal()."""
+        return self._merge_calls(
+            self._query_all(lambda reader: reader.calls_after_removal(endpoint, removed_by, epoch, grace_ms))
+        )
 
-    def document(self, doc: str) -> Calls:
-        """Merges Reader.document()."""
-        return self._merge_calls(self._each(lambda reader: reader.document(doc)))
+    def document_calls(self, doc: str) -> CallsAnswer:
+        """Merges StoreReader.document_calls()."""
+        return self._merge_calls(self._query_all(lambda reader: reader.document_calls(doc)))
 
-    def late(self, number: int, epoch: str | None = None, slack_ms: float = SLACK_MS) -> Calls:
-        """Merges Reader.late()."""
-        return self._merge_calls(self._each(lambda reader: reader.late(number, epoch, slack_ms)))
+    def late_calls(
+        self, number: int, epoch: str | None = None, allowance_ms: float = PROPAGATION_ALLOWANCE_MS
+    ) -> CallsAnswer:
+        """Merges StoreReader.late_calls()."""
+        return self._merge_calls(
+            self._query_all(lambda reader: reader.late_calls(number, epoch, allowance_ms))
+        )
 
-    def status(self) -> list[Sender]:
-        """Merges Reader.status(): of each address, the most recent answer counts."""
-        best: dict[tuple, Sender] = {}
-        for sender in (row for rows in self._each(lambda reader: reader.status()) for row in rows):
+    def status(self) -> list[SenderStatus]:
+        """Merges StoreReader.status(): of each address, the most recent answer counts."""
+        best: dict[tuple, SenderStatus] = {}
+        for sender in (row for rows in self._query_all(lambda reader: reader.status()) for row in rows):
             known = best.get((sender.sender, sender.at))
             if known is None or known.answered_ms < 0.0 or 0.0 <= sender.answered_ms < known.answered_ms:
                 best[sender.sender, sender.at] = sender
         return sorted(best.values())
 
     def stragglers(self) -> list[Verdict]:
-        """Merges Reader.stragglers(): the verdicts of collectors that are themselves cut off do not count.
+        """Merges StoreReader.stragglers(): verdicts of collectors that are cut off do not count.
 
         If all collectors are cut off, all verdicts count.
         """
-        answers = self._each(lambda reader: reader.stragglers())
+        answers = self._query_all(lambda reader: reader.stragglers())
         connected = [
             verdicts
             for verdicts in answers
@@ -717,28 +755,30 @@
         )
 
     def timeline(self, from_ms: float = 0.0, to_ms: float | None = None) -> list[TimelineEvent]:
-        """Merges Reader.timeline(): an event that several stores have is returned once."""
+        """Merges StoreReader.timeline(): an event that several stores have is returned once."""
         seen: dict[tuple, TimelineEvent] = {}
         for event in (
-            row for rows in self._each(lambda reader: reader.timeline(from_ms, to_ms)) for row in rows
+            row for rows in self._query_all(lambda reader: reader.timeline(from_ms, to_ms)) for row in rows
         ):
             seen.setdefault((event.sender, event.what, event.detail), event)
         return sorted(seen.values())
 
     def findings(self, grace_ms: float = 2000.0) -> list[Finding]:
-        """Merges Reader.findings(): a finding that several stores have is returned once."""
+        """Merges StoreReader.findings(): a finding that several stores have is returned once."""
         seen: dict[tuple, Finding] = {}
-        for finding in (row for rows in self._each(lambda reader: reader.findings(grace_ms)) for row in rows):
+        for finding in (
+            row for rows in self._query_all(lambda reader: reader.findings(grace_ms)) for row in rows
+        ):
             seen.setdefault((finding.kind, finding.sender, finding.detail), finding)
         return sorted(seen.values())
 
 
-def both(told: list[list[Unknown]]) -> list[Unknown]:
+def common_unknown(answers: list[list[UnknownPeriod]]) -> list[UnknownPeriod]:
     """Returns for each sender the periods that are unknown in every one of the answers."""
-    common = told[0]
-    for other in told[1:]:
+    common = answers[0]
+    for other in answers[1:]:
         common = [
-            Unknown(
+            UnknownPeriod(
                 first.sender,
                 max(first.from_ms, second.from_ms),
                 min(first.to_ms, second.to_ms),
--- a/birchstack/keeper/relay.py
+++ b/birchstack/keeper/relay.py
@@ -21,71 +21,81 @@
 
 
 @dataclass(slots=True)
-class Reader:
+class SenderState:
     """Relay state of one sender process.
 
-    life: identifier of the process, new with each start.
-    clock_ms, came_ms: the sender's steady clock in its last answer, and when that answer arrived here.
-    taken: the last sequences received from it.
-    told: the sequences up to which evidence was delivered to it.
-    asked: the same for the evidence of the question in flight.
+    process: identifier of the process, new with each start.
+    sender_clock_ms: the sender's steady clock in its last answer.
+    answered_ms: when that answer arrived, by the steady clock of this process.
+    received: the last sequences received from it.
+    delivered: the sequences up to which evidence was delivered to it.
+    pending: the same for the evidence of the question in flight.
     """
 
-    life: str
-    clock_ms: float = 0.0
-    came_ms: float = 0.0
-    taken: Sequences = START
-    told: Sequences = START
-    asked: Sequences = START
+    process: str
+    sender_clock_ms: float = 0.0
+    answered_ms: float = 0.0
+    received: Sequences = START
+    delivered: Sequences = START
+    pending: Sequences = START
 
 
 class Relay:
     """Exchanges signals with all senders of one collector."""
 
-    def __init__(self, room: int) -> None:
-        """room: maximum size in bytes of the evidence in one question."""
-        self._max_evidence_bytes = room
+    def __init__(self, max_evidence_bytes: int) -> None:
+        """max_evidence_bytes: maximum size in bytes of the evidence in one question."""
+        self._max_evidence_bytes = max_evidence_bytes
         self.board = Board()
-        self._senders: dict[str, Reader] = {}
+        self._senders: dict[str, SenderState] = {}
         self.counts = {"signals": 0, "signals_refused": 0}
 
-    def question(self, door: str, now_ms: float) -> bytes | None:
+    def question(self, address: str, now_ms: float) -> bytes | None:
         """Returns the encoded question for an address; None where the sender does not take part."""
-        state = self._senders.get(door)
+        state = self._senders.get(address)
         if state is None:
             return None
-        evidence, state.asked = self.board.news(state.told, now_ms, self._max_evidence_bytes)
+        evidence, state.pending = self.board.news(state.delivered, now_ms, self._max_evidence_bytes)
         return model.encode(
-            Question(model.VERSION, state.taken, state.life, state.clock_ms, now_ms - state.came_ms, evidence)
+            Question(
+                model.VERSION,
+                state.received,
+                state.process,
+                state.sender_clock_ms,
+                now_ms - state.answered_ms,
+                evidence,
+            )
         )
 
-    def answered(self, door: str, sender: str, piece: wire.Piece, asked_ms: float, now_ms: float) -> None:
+    def handle_answer(
+        self, address: str, sender: str, answer: wire.Piece, asked_ms: float, now_ms: float
+    ) -> None:
         """Merges the signals of an answer.
 
         sender: the configured owner of the address; an answer under another name is ignored. Signals that
         were too long in transit or cannot be decoded are not acknowledged, so the sender repeats them.
         """
-        if piece.name != sender or not piece.signals:
-            self._senders.pop(door, None)
+        if answer.name != sender or not answer.signals:
+            self._senders.pop(address, None)
             return
-        state = self._senders.get(door)
-        if state is None or state.life != piece.process:
-            state = self._senders[door] = Reader(piece.process)
-        state.clock_ms = piece.steady_ms
-        state.came_ms = now_ms
+        state = self._senders.get(address)
+        if state is None or state.process != answer.process:
+            state = self._senders[address] = SenderState(answer.process)
+        state.sender_clock_ms = answer.steady_ms
+        state.answered_ms = now_ms
         if now_ms - asked_ms > MOST_DELAY_MS:
             return
         try:
-            batch = model.decode_batch(piece.signals)
+            batch = model.decode_batch(answer.signals)
         except model.SignalError as problem:
             self.counts["signals_refused"] += 1
             if self.counts["signals_refused"] == 1:
                 say(log, "signals not readable", logging.WARNING, sender=sender, problem=problem)
             return
         if batch.heard:
-            state.told = state.asked
+            state.delivered = state.pending
         self.counts["signals"] += self.board.merge(sender, batch, now_ms)
-        state.taken = _latest(state.taken, batch)
+        state.received = _latest(state.received, batch)
 
 
 def _latest(before: Sequences, batch: SignalBatch) -> Sequences:
--- a/birchstack/keeper/store.py
+++ b/birchstack/keeper/store.py
@@ -31,35 +31,35 @@
 
 
 @dataclass(slots=True)
-class Place:
+class Cursor:
     """Cursor of one polled address: what was read from it, and the next record to read.
 
-    trail: id of the branch in table `trail`.
-    name: name of the trail.
-    next: number of the next record.
+    branch: id of the branch in table `trail`.
+    trail: name of the trail.
+    next_number: number of the next record.
     chain: hash chain value of the last record read.
     state: sender's state after that record.
     last_ms: time of that record, by the steady clock of its boot.
-    looking: the trail is being read again from its start, to find where it forked.
-    lost: the sender that lost its folder, and the time up to which its previous trail is known.
+    rescanning: the trail is being read again from its start, to find where it forked.
+    lost_folder: the sender that lost its folder, and the time up to which its previous trail is known.
     """
 
-    trail: int = 0
-    name: str = ""
-    next: int = 1
+    branch: int = 0
+    trail: str = ""
+    next_number: int = 1
     chain: bytes = START
     state: State = field(default_factory=State)
     last_ms: float = 0.0
-    looking: bool = False
-    lost: tuple[str, float] | None = None
+    rescanning: bool = False
+    lost_folder: tuple[str, float] | None = None
 
-    def begin(self, looking: bool) -> None:
+    def restart(self, rescanning: bool) -> None:
         """Moves the cursor back to the start of the trail."""
-        self.next = 1
+        self.next_number = 1
         self.chain = START
         self.state = State()
         self.last_ms = 0.0
-        self.looking = looking
+        self.rescanning = rescanning
 
 
 class Store(Tables):
@@ -67,7 +67,7 @@
 
     def _clear(self) -> None:
         """Drops buffered rows and cached rows; the caches are filled again from the tables."""
-        self.places: dict[str, Place] = {}
+        self.cursors: dict[str, Cursor] = {}
         self._stretch_ids: dict[tuple[int, int], int] = {}
         self._tallies: dict[tuple[int, str], list] = {}
         self._totals: dict[int, list] = {}  # by stretch: calls, rejected, abandoned, to_ms
@@ -99,77 +99,79 @@
             "UPDATE door SET trail=?, next=?, chain=?, state=?, last_ms=? WHERE at=?",
             [
                 (
-                    cursor.trail,
-                    cursor.next,
+                    cursor.branch,
+                    cursor.next_number,
                     cursor.chain,
                     msgspec.msgpack.encode(cursor.state),
                     cursor.last_ms,
                     address,
                 )
-                for address, cursor in self.places.items()
+                for address, cursor in self.cursors.items()
             ],
         )
 
     # Polled addresses
 
-    def place(self, at: str) -> Place:
+    def cursor(self, address: str) -> Cursor:
         """Returns the cursor of an address; one that is new starts at the first record."""
-        if at not in self.places:
+        if address not in self.cursors:
             row = self.db.execute(
-                "SELECT trail, next, chain, state, last_ms FROM door WHERE at=?", (at,)
+                "SELECT trail, next, chain, state, last_ms FROM door WHERE at=?", (address,)
             ).fetchone()
             if row and row[0]:
                 name = self.db.execute("SELECT name FROM trail WHERE id=?", (row[0],)).fetchone()[0]
-                self.places[at] = Place(
+                self.cursors[address] = Cursor(
                     row[0], name, row[1], row[2], msgspec.msgpack.decode(row[3], type=State), row[4]
                 )
             else:
                 self._begin()
-                self.db.execute("INSERT OR IGNORE INTO door(at, next) VALUES(?, 1)", (at,))
-                self.places[at] = Place()
-        return self.places[at]
+                self.db.execute("INSERT OR IGNORE INTO door(at, next) VALUES(?, 1)", (address,))
+                self.cursors[address] = Cursor()
+        return self.cursors[address]
 
-    def wanted(self, at: str) -> int:
+    def resume_after(self, address: str) -> int:
         """Returns the record number after which the next poll of an address continues."""
-        return self.place(at).next - 1
+        return self.cursor(address).next_number - 1
 
-    def take(self, at: str, piece: wire.Piece, now_ms: float, error_ms: float) -> bool:
+    def store_answer(self, address: str, answer: wire.Piece, now_ms: float, error_ms: float) -> bool:
         """Stores the records of an answer; returns True where the address should be polled again at once.
 
         now_ms: the collector's time at which the sender answered, with an error of at most error_ms.
         """
-        cursor = self.place(at)
+        cursor = self.cursor(address)
         self._begin()
-        self._update_clock(piece, now_ms, error_ms)
-        if not piece.holds:
-            self._update_door(at, piece, now_ms, None)
+        self._update_clock(answer, now_ms, error_ms)
+        if not answer.holds:
+            self._update_door(address, answer, now_ms, None)
             return False
-        if piece.trail != cursor.name:
-            requested = cursor.next
-            self._switch_trail(cursor, piece, now_ms)
+        if answer.trail != cursor.trail:
+            requested = cursor.next_number
+            self._switch_trail(cursor, answer, now_ms)
             if requested > 1:  # the answer does not begin at the first record of the new trail
                 return True
-        if piece.last < cursor.next - 1 or (
-            piece.last == cursor.next - 1
-            and piece.chain != cursor.chain
-            and piece.last
-            and not cursor.looking
+        if answer.last < cursor.next_number - 1 or (
+            answer.last == cursor.next_number - 1
+            and answer.chain != cursor.chain
+            and answer.last
+            and not cursor.rescanning
         ):
-            self._rescan(cursor, piece, now_ms)
+            self._rescan(cursor, answer, now_ms)
             return True
         previous: Frame | None = None
-        for frame in scan(piece.frames):
+        for frame in scan(answer.frames):
             if not isinstance(frame, Frame):
-                self.found("answer spoilt", piece.name, f"{at}: bytes that are no record", now_ms)
+                self.add_finding("answer spoilt", answer.name, f"{address}: bytes that are no record", now_ms)
                 break
-            if not self._ingest(cursor, frame, previous, piece, now_ms):
+            if not self._ingest(cursor, frame, previous, answer, now_ms):
                 return True
             previous = frame
-        complete = cursor.next > piece.last
+        complete = cursor.next_number > answer.last
         if complete:
-            cursor.looking = False
+            cursor.rescanning = False
         # while a sender is losing records, an answer tells nothing about what it does meanwhile
-        self._update_door(at, piece, now_ms, piece.steady_ms if complete and not piece.failing else None)
+        self._update_door(
+            address, answer, now_ms, answer.steady_ms if complete and not answer.failing else None
+        )
         return not complete
 
     def _update_clock(self, answer: wire.Piece, now_ms: float, error_ms: float) -> None:
@@ -201,7 +203,7 @@
             (answer.name, answer.process, answer.boot, now_ms, encoded, complete_ms, address),
         )
 
-    def _switch_trail(self, cursor: Place, answer: wire.Piece, now_ms: float) -> None:
+    def _switch_trail(self, cursor: Cursor, answer: wire.Piece, now_ms: float) -> None:
         """Starts reading another trail: the sender has a new folder, or another sender answers."""
         previous_trails = [
             name
@@ -215,8 +217,8 @@
             row = self.db.execute(
                 "SELECT max(complete_ms) FROM door WHERE sender=? AND boot=?", (answer.name, answer.boot)
             ).fetchone()
-            cursor.lost = answer.name, row[0] or 0.0
-            self.found(
+            cursor.lost_folder = answer.name, row[0] or 0.0
+            self.add_finding(
                 "folder lost",
                 answer.name,
                 f"goes on with trail {answer.trail}; what {previous_trails[-1]} held and "
@@ -225,102 +227,102 @@
             )
         if branch is None:
             branch = self.db.execute("INSERT INTO trail(name, first) VALUES(?, 1)", (answer.trail,)).lastrowid
-        cursor.trail = branch
-        cursor.name = answer.trail
-        cursor.begin(looking=False)
+        cursor.branch = branch
+        cursor.trail = answer.trail
+        cursor.restart(rescanning=False)
 
-    def _rescan(self, cursor: Place, answer: wire.Piece, now_ms: float) -> None:
+    def _rescan(self, cursor: Cursor, answer: wire.Piece, now_ms: float) -> None:
         """Reads the trail again from its start: it does not continue from the records already stored.
 
         The first record that differs shows where the trail forked.
         """
-        if answer.last < cursor.next - 1:
-            self.found(
+        if answer.last < cursor.next_number - 1:
+            self.add_finding(
                 "trail went back",
                 answer.name,
-                f"trail {cursor.name} ended at {cursor.next - 1} and now "
+                f"trail {cursor.trail} ended at {cursor.next_number - 1} and now "
                 f"ends at {answer.last} in life {answer.life}",
                 now_ms,
             )
-        cursor.begin(looking=True)
+        cursor.restart(rescanning=True)
 
     # Records
 
     def _ingest(
-        self, cursor: Place, frame: Frame, previous: Frame | None, answer: wire.Piece, now_ms: float
+        self, cursor: Cursor, frame: Frame, previous: Frame | None, answer: wire.Piece, now_ms: float
     ) -> bool:
         """Stores one frame and advances the cursor; returns False where the trail must be read again."""
         number = frame.number
-        if number < cursor.next:
+        if number < cursor.next_number:
             return True
         try:
             record = frame.record()
         except msgspec.DecodeError as problem:
-            self.found(
-                "record not readable", answer.name, f"trail {cursor.name} record {number}: {problem}", now_ms
+            self.add_finding(
+                "record not readable", answer.name, f"trail {cursor.trail} record {number}: {problem}", now_ms
             )
             record = Gap(cursor.last_ms, cursor.last_ms, "a record of a form this keeper does not read")
         if isinstance(record, Folded):
             self._add_folded(cursor, record)
             return True
-        if number > cursor.next:
+        if number > cursor.next_number:
             self._add_gap(
                 cursor,
                 Gap(
                     cursor.last_ms,
                     time_of(record) or cursor.last_ms,
-                    f"records {cursor.next} to {number - 1} are not there",
+                    f"records {cursor.next_number} to {number - 1} are not there",
                 ),
                 now_ms,
             )
         elif not frame.follows(cursor.chain):
-            if previous is None and not cursor.looking and cursor.next > 1:
+            if previous is None and not cursor.rescanning and cursor.next_number > 1:
                 self._rescan(cursor, answer, now_ms)
                 return False
-            self.found(
+            self.add_finding(
                 "altered",
                 answer.name,
-                f"trail {cursor.name}: record {number} does not follow {number - 1}",
+                f"trail {cursor.trail}: record {number} does not follow {number - 1}",
                 now_ms,
             )
         if not self._is_stored(cursor, frame, answer, now_ms):
             self._store_record(cursor, frame, record, now_ms)
         cursor.state = after(cursor.state, number, record)
-        cursor.next = number + 1
+        cursor.next_number = number + 1
         cursor.chain = frame.chain
         cursor.last_ms = time_of(record) or cursor.last_ms
         return True
 
-    def _is_stored(self, cursor: Place, frame: Frame, answer: wire.Piece, now_ms: float) -> bool:
+    def _is_stored(self, cursor: Cursor, frame: Frame, answer: wire.Piece, now_ms: float) -> bool:
         """Tells whether the record is stored already, from whichever address it came.
 
         Another record under the same number is a fork: what follows is stored as a branch of its own.
         """
-        if frame.number > self._last_number(cursor.name):
+        if frame.number > self._last_number(cursor.trail):
             return False
-        rows = self._records_numbered(cursor.name, frame.number)
+        rows = self._records_numbered(cursor.trail, frame.number)
         for branch, chain in rows:
             if chain == frame.chain:
-                cursor.trail = branch
+                cursor.branch = branch
                 return True
-        if cursor.trail in [branch for branch, _ in rows]:
+        if cursor.branch in [branch for branch, _ in rows]:
             names = {
                 row[0]
                 for row in self.db.execute(
                     "SELECT DISTINCT l.sender FROM life l JOIN trail t ON t.id=l.trail WHERE t.name=?",
-                    (cursor.name,),
+                    (cursor.trail,),
                 )
             } | {answer.name}
             kind = "cloned folder" if len(names) > 1 else "fork"
-            self.found(
+            self.add_finding(
                 kind,
                 answer.name,
-                f"trail {cursor.name} goes two ways from record {frame.number} ({', '.join(sorted(names))})",
+                f"trail {cursor.trail} goes two ways from record {frame.number} ({', '.join(sorted(names))})",
                 now_ms,
             )
-            cursor.trail = self.db.execute(
+            cursor.branch = self.db.execute(
                 "INSERT INTO trail(name, parent, first) VALUES(?, ?, ?)",
-                (cursor.name, cursor.trail, frame.number),
+                (cursor.trail, cursor.branch, frame.number),
             ).lastrowid
         return False
 
@@ -343,13 +345,13 @@
             ).fetchone()[0]
         return self._last_numbers[name]
 
-    def _store_record(self, cursor: Place, frame: Frame, record: Record, now_ms: float) -> None:
+    def _store_record(self, cursor: Cursor, frame: Frame, record: Record, now_ms: float) -> None:
         """Buffers a new record and updates the tables that are derived from it."""
-        branch = cursor.trail
+        branch = cursor.branch
         number = frame.number
         state = cursor.state
         self._records.append((branch, number, frame.chain))
-        self._last_numbers[cursor.name] = max(self._last_number(cursor.name), number)
+        self._last_numbers[cursor.trail] = max(self._last_number(cursor.trail), number)
         if isinstance(record, Acted):
             self._add_calls(self._stretch_id(branch, state), record)
         elif isinstance(record, Adopted):
@@ -416,36 +418,36 @@
         if state.stretch:
             self._totals.setdefault(self._stretch_id(branch, state), [0, 0, 0, at_ms])[3] = at_ms
 
-    def _add_life(self, cursor: Place, number: int, record: Life, now_ms: float) -> None:
+    def _add_life(self, cursor: Cursor, number: int, record: Life, now_ms: float) -> None:
         """Stores the start of a process; reports a lost folder, a changed name and a stepped clock."""
         self.db.execute(
             "INSERT OR IGNORE INTO life VALUES(?, ?, ?, ?, ?, ?, ?, NULL)",
-            (cursor.trail, number, record.life, record.name, record.boot, record.wall_ms, record.steady_ms),
+            (cursor.branch, number, record.life, record.name, record.boot, record.wall_ms, record.steady_ms),
         )
-        self._stretch_id(cursor.trail, after(cursor.state, number, record))
-        if cursor.lost and cursor.lost[0] == record.name:
-            _, since_ms = cursor.lost
-            cursor.lost = None
-            started = Place(cursor.trail, cursor.name, state=after(cursor.state, number, record))
+        self._stretch_id(cursor.branch, after(cursor.state, number, record))
+        if cursor.lost_folder and cursor.lost_folder[0] == record.name:
+            _, since_ms = cursor.lost_folder
+            cursor.lost_folder = None
+            started = Cursor(cursor.branch, cursor.trail, state=after(cursor.state, number, record))
             self._add_gap(started, Gap(since_ms, record.steady_ms, "the folder was lost"), now_ms)
         previous_name = cursor.state.name
         if previous_name and previous_name != record.name:
-            self.found(
+            self.add_finding(
                 "another name",
                 record.name,
-                f"trail {cursor.name} was {previous_name}'s up to record {number - 1}",
+                f"trail {cursor.trail} was {previous_name}'s up to record {number - 1}",
                 now_ms,
             )
         self._check_wall_clock(cursor, record.boot, record.wall_ms, record.steady_ms, record.name, now_ms)
 
-    def _add_adoption(self, cursor: Place, number: int, record: Adopted, now_ms: float) -> None:
+    def _add_adoption(self, cursor: Cursor, number: int, record: Adopted, now_ms: float) -> None:
         """Stores that a version was adopted or refused; one that was adopted begins a new stretch."""
         state = cursor.state
         version = record.version
         self.db.execute(
             "INSERT OR IGNORE INTO adoption VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
-                cursor.trail,
+                cursor.branch,
                 number,
                 state.name,
                 state.life,
@@ -463,11 +465,11 @@
             ),
         )
         if record.taken:
-            self._end_stretch(cursor.trail, state, record.steady_ms)
-            self._stretch_id(cursor.trail, after(state, number, record))
+            self._end_stretch(cursor.branch, state, record.steady_ms)
+            self._stretch_id(cursor.branch, after(state, number, record))
         if version.kind == LIST and record.order in (OLDER, FORKED):
             previous = state.versions.get(LIST)
-            self.found(
+            self.add_finding(
                 f"list {record.order}",
                 state.name,
                 f"{previous} then {version} from {record.source}" + ("" if record.taken else ", not taken"),
@@ -476,7 +478,7 @@
         self._check_wall_clock(cursor, state.boot, record.wall_ms, record.steady_ms, state.name, now_ms)
 
     def _check_wall_clock(
-        self, cursor: Place, boot: str, wall_ms: float, steady_ms: float, sender: str, now_ms: float
+        self, cursor: Cursor, boot: str, wall_ms: float, steady_ms: float, sender: str, now_ms: float
     ) -> None:
         """Reports a sender whose wall clock was stepped by more than a second since the start of its boot."""
         row = self.db.execute(
@@ -484,9 +486,9 @@
         ).fetchone()
         if row and abs(wall_ms - steady_ms - row[0]) > 1000.0:
             step_s = round((wall_ms - steady_ms - row[0]) / 1000.0)
-            self.found("wall clock", sender, f"stepped by {step_s} s in boot {boot[:8]}", now_ms)
+            self.add_finding("wall clock", sender, f"stepped by {step_s} s in boot {boot[:8]}", now_ms)
 
-    def _add_gap(self, cursor: Place, gap: Gap, now_ms: float, totals: bool = False) -> None:
+    def _add_gap(self, cursor: Cursor, gap: Gap, now_ms: float, totals: bool = False) -> None:
         """Stores a period of which records are missing.
 
         totals: the counters of the period are known and only its single calls are missing, so the gap is not
@@ -496,7 +498,7 @@
             "INSERT OR IGNORE INTO gap(trail, sender, boot, from_ms, to_ms, why, calls, totals) "
             "VALUES(?, ?, ?, ?, ?, ?, ?, ?)",
             (
-                cursor.trail,
+                cursor.branch,
                 cursor.state.name,
                 cursor.state.boot,
                 gap.from_ms,
@@ -507,22 +509,22 @@
             ),
         )
         if not totals:
-            self.found(
+            self.add_finding(
                 "gap",
                 cursor.state.name,
                 f"{gap.why} ({gap.from_ms:.0f} to {gap.to_ms:.0f} ms of boot {cursor.state.boot[:8]})",
                 now_ms,
             )
 
-    def _add_folded(self, cursor: Place, record: Folded) -> None:
+    def _add_folded(self, cursor: Cursor, record: Folded) -> None:
         """Stores the totals of records that were folded before they were polled, without single calls."""
         self._flush()
-        known = record.chain in [chain for _, chain in self._records_numbered(cursor.name, record.last)]
+        known = record.chain in [chain for _, chain in self._records_numbered(cursor.trail, record.last)]
         for total in () if known else record.totals:
             if total.to_ms <= cursor.last_ms and total.number < cursor.state.stretch:
                 continue  # every record of this stretch is stored
             state = State(total.life, total.name, total.boot, total.versions, total.number, total.from_ms)
-            stretch = self._stretch_id(cursor.trail, state)
+            stretch = self._stretch_id(cursor.branch, state)
             calls = sum(tally.calls for tally in total.tallies)
             self.db.execute(
                 "UPDATE stretch SET calls=?, rejected=?, abandoned=?, to_ms=?, mixed=?, singles=0 WHERE id=?",
@@ -533,11 +535,11 @@
                 [(stretch, *msgspec.structs.astuple(tally)) for tally in total.tallies],
             )
             since_ms = max(total.from_ms, cursor.last_ms if cursor.state.stretch == total.number else 0.0)
-            folded = Place(cursor.trail, cursor.name, state=state)
+            folded = Cursor(cursor.branch, cursor.trail, state=state)
             self._add_gap(folded, Gap(since_ms, total.to_ms, "folded before it was taken", calls), 0.0, True)
         for gap in () if known else record.gaps:
             self._add_gap(cursor, gap, 0.0)
         cursor.state = record.state
-        cursor.next = record.last + 1
+        cursor.next_number = record.last + 1
         cursor.chain = record.chain
         cursor.last_ms = max((total.to_ms for total in record.totals), default=cursor.last_ms)
--- a/birchstack/keeper/tables.py
+++ b/birchstack/keeper/tables.py
@@ -12,8 +12,8 @@
 
 from birchstack.fleet.versions import FORKED, LIST, OLDER, Version
 
-SCHEMA = 1
-TABLES = """
+SCHEMA_VERSION = 1
+SCHEMA_SQL = """
 CREATE TABLE IF NOT EXISTS meta(key TEXT PRIMARY KEY, value) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS trail(id INTEGER PRIMARY KEY, name TEXT, parent INTEGER, first INTEGER);
 CREATE INDEX IF NOT EXISTS trail_name ON trail(name);
@@ -66,7 +66,7 @@
     _clear().
     """
 
-    def __init__(self, path: str, most_mb: float = 4096.0) -> None:
+    def __init__(self, path: str, max_mb: float = 4096.0) -> None:
         """Opens the store at path, or creates it, with an upper bound on its size."""
         try:
             self.db = sqlite3.connect(path, isolation_level=None)
@@ -74,14 +74,15 @@
                 "PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA cache_size=-16000;"
             )
             page_bytes = self.db.execute("PRAGMA page_size").fetchone()[0]
-            self.db.execute(f"PRAGMA max_page_count={int(most_mb * (1 << 20)) // page_bytes}")
-            self.db.executescript(TABLES)
+            self.db.execute(f"PRAGMA max_page_count={int(max_mb * (1 << 20)) // page_bytes}")
+            self.db.executescript(SCHEMA_SQL)
             schema = self.db.execute("SELECT value FROM meta WHERE key='schema'").fetchone()
             if schema is None:
-                self.db.execute("INSERT INTO meta VALUES('schema', ?)", (SCHEMA,))
-            elif schema[0] != SCHEMA:
+                self.db.execute("INSERT INTO meta VALUES('schema', ?)", (SCHEMA_VERSION,))
+            elif schema[0] != SCHEMA_VERSION:
                 raise StoreError(
-                    f"store: {path} has schema version {schema[0]}, this program supports version {SCHEMA}"
+                    f"store: {path} has schema version {schema[0]}, "
+                    f"this program supports version {SCHEMA_VERSION}"
                 )
         except sqlite3.Error as problem:
             raise StoreError(f"store: {path}: {problem}") from problem
@@ -131,7 +132,7 @@
 
     # Lists and findings
 
-    def publish(self, version: Version, order: str, changes: dict[str, str], at_ms: float) -> None:
+    def add_published(self, version: Version, order: str, changes: dict[str, str], at_ms: float) -> None:
         """Records a version that the list service published; at_ms is the collector's time."""
         self._begin()
         published = self.db.execute(
@@ -143,9 +144,9 @@
             [(published, endpoint, state) for endpoint, state in changes.items()],
         )
         if order in (OLDER, FORKED):
-            self.found(f"list service {order}", "", f"{version} from {version.origin}", at_ms)
+            self.add_finding(f"list service {order}", "", f"{version} from {version.origin}", at_ms)
 
-    def newest(self) -> tuple[Version | None, dict[str, str]]:
+    def latest_list(self) -> tuple[Version | None, dict[str, str]]:
         """Returns the list version published last, and the states of its endpoints."""
         row = self.db.execute(
             "SELECT source, epoch, number, digest FROM published ORDER BY id DESC LIMIT 1"
@@ -153,7 +154,7 @@
         states = dict(self.db.execute("SELECT endpoint, state FROM change ORDER BY published").fetchall())
         return Version(LIST, *row) if row else None, states
 
-    def judged(self, sender: str, what: str, evidence: str, since_ms: float, at_ms: float) -> None:
+    def add_verdict(self, sender: str, what: str, evidence: str, since_ms: float, at_ms: float) -> None:
         """Records a changed verdict on a sender, or on the fleet as a whole where sender is empty."""
         self._begin()
         self.db.execute(
@@ -161,17 +162,17 @@
             (sender, what, evidence, since_ms, at_ms),
         )
 
-    def doors(self) -> list[tuple[str, str, float | None, bytes | None]]:
+    def last_answers(self) -> list[tuple[str, str, float | None, bytes | None]]:
         """Returns for each polled address: address, sender, time of its last answer, and that answer."""
         return self.db.execute("SELECT at, sender, answered_ms, piece FROM door").fetchall()
 
-    def given(self) -> list[tuple[str, str, int, str, float]]:
+    def recent_versions(self) -> list[tuple[str, str, int, str, float]]:
         """Returns the last published versions, oldest first: source, epoch, number, digest, time."""
         return self.db.execute(
             "SELECT source, epoch, number, digest, at_ms FROM published ORDER BY id DESC LIMIT 256"
         ).fetchall()[::-1]
 
-    def found(self, kind: str, sender: str, detail: str, at_ms: float) -> None:
+    def add_finding(self, kind: str, sender: str, detail: str, at_ms: float) -> None:
         """Records a finding; one that is stored already is left as it is."""
         self._begin()
         self.db.execute(
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -91,12 +91,12 @@
 
 @mutant("a sender that is losing records counts as complete", ("disk full",))
 def _(patch):
-    original = store.Store.take
+    original = store.Store.store_answer
 
-    def take(self, at, piece, *args):
-        return original(self, at, msgspec.structs.replace(piece, failing=False), *args)
+    def store_answer(self, address, answer, *args):
+        return original(self, address, msgspec.structs.replace(answer, failing=False), *args)
 
-    patch.set(store.Store, "take", take)
+    patch.set(store.Store, "store_answer", store_answer)
     patch.set(audit_files.AuditFiles, "retry", never)
 
 
@@ -125,9 +125,9 @@
     def rollback(self):
         if self.db.in_transaction:
             self.db.execute("ROLLBACK")
-        cursors = self.places
+        cursors = self.cursors
         self._clear()
-        self.places = cursors
+        self.cursors = cursors
 
     patch.set(store.Store, "rollback", rollback)
 
@@ -153,31 +153,35 @@
 
 @mutant("a sender's clock offset is 700 ms too low")
 def _(patch):
-    original = questions.Reader.at
-    patch.set(questions.Reader, "at", lambda self, boot, steady_ms: original(self, boot, steady_ms) - 700.0)
+    original = questions.StoreReader.to_collector_ms
+    patch.set(
+        questions.StoreReader,
+        "to_collector_ms",
+        lambda self, boot, steady_ms: original(self, boot, steady_ms) - 700.0,
+    )
 
 
 @mutant("an endpoint that was added again still counts as removed")
 def _(patch):
-    original = questions.Reader.after
+    original = questions.StoreReader.calls_after_removal
 
-    def after(self, endpoint, out_at, epoch=None, grace_ms=0.0):
-        answer = original(self, endpoint, out_at, epoch, grace_ms)
+    def calls_after_removal(self, endpoint, removed_by, epoch=None, grace_ms=0.0):
+        answer = original(self, endpoint, removed_by, epoch, grace_ms)
         if not answer.in_ms:
             return answer
         calls = [call for call in self._calls("c.endpoint=?", endpoint) if call.at_ms > answer.out_ms]
         return msgspec.structs.replace(answer, calls=calls)
 
-    patch.set(questions.Reader, "after", after)
+    patch.set(questions.StoreReader, "calls_after_removal", calls_after_removal)
 
 
 @mutant("the loss of a folder is not recorded as a gap")
 def _(patch):
     original = store.Store._switch_trail
 
-    def switch_trail(self, cursor, piece, now_ms):
-        original(self, cursor, piece, now_ms)
-        cursor.lost = None
+    def switch_trail(self, cursor, answer, now_ms):
+        original(self, cursor, answer, now_ms)
+        cursor.lost_folder = None
 
     patch.set(store.Store, "_switch_trail", switch_trail)
 
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -9,7 +9,7 @@
 from birchstack.fleet import wire
 from birchstack.fleet.records import START, Acted, Adopted, Life, frame
 from birchstack.fleet.versions import LIST, Version
-from birchstack.keeper.config import KeeperError, decode
+from birchstack.keeper.config import ConfigError, decode
 from birchstack.keeper.store import Store
 
 VALID_CONFIG = 'name = "k"\nstore = "s"\n[[senders]]\nname = "n1"\nat = "127.0.0.1:1"\n'
@@ -53,9 +53,9 @@
 @pytest.fixture
 def store(tmp_path):
     written = Store(str(tmp_path / "s.sqlite"))
-    written.publish(version(1), "first", {"e1": "active", "e2": "active"}, 0.0)
-    written.publish(version(2), "newer", {"e1": "leaving"}, 20.0)
-    written.take("127.0.0.1:1", piece(RECORDS), 100.0, 1.0)
+    written.add_published(version(1), "first", {"e1": "active", "e2": "active"}, 0.0)
+    written.add_published(version(2), "newer", {"e1": "leaving"}, 20.0)
+    written.store_answer("127.0.0.1:1", piece(RECORDS), 100.0, 1.0)
     written.close()
     return str(tmp_path / "s.sqlite")
 
@@ -133,7 +133,7 @@
     ],
 )
 def test_an_invalid_configuration_file_is_reported_with_its_key(text, expected, tmp_path):
-    with pytest.raises(KeeperError, match="f.toml") as error:
+    with pytest.raises(ConfigError, match="f.toml") as error:
         decode(text.encode(), "f.toml")
     assert expected in str(error.value)
     (tmp_path / "f.toml").write_text(text)
@@ -142,34 +142,36 @@
 
 
 def test_a_repeated_record_is_stored_once_and_a_failed_commit_stores_nothing(tmp_path):
-    store = Store(str(tmp_path / "s.sqlite"), most_mb=1)
+    store = Store(str(tmp_path / "s.sqlite"), max_mb=1)
     for _ in range(3):
-        store.take("a:1", piece(RECORDS), 100.0, 1.0)
-        store.places["a:1"].next = 1  # reads the same records again
-        store.places["a:1"].begin(looking=False)
+        store.store_answer("a:1", piece(RECORDS), 100.0, 1.0)
+        store.cursors["a:1"].next_number = 1  # reads the same records again
+        store.cursors["a:1"].restart(rescanning=False)
     assert store.commit() and store.db.execute("SELECT count(*) FROM call").fetchone() == (4,)
     too_many = [*RECORDS, *(Acted(100.0 + index, (f"document-{index}", "e1")) for index in range(20000))]
     full = False
     try:
-        store.take("a:1", piece(too_many, now=1e6), 1e6, 1.0)
+        store.store_answer("a:1", piece(too_many, now=1e6), 1e6, 1.0)
         full = not store.commit()
     except Exception:
         store.rollback()
         full = True
     assert full, "these records exceed the limit of one megabyte"
     assert store.db.execute("SELECT count(*) FROM call").fetchone() == (4,), "the transaction is atomic"
-    assert store.wanted("a:1") <= 4, "records that were not committed are polled again"
-    store.take("a:1", piece([*RECORDS, Acted(50.0, ("d5", "e2"))]), 200.0, 1.0)
+    assert store.resume_after("a:1") <= 4, "records that were not committed are polled again"
+    store.store_answer("a:1", piece([*RECORDS, Acted(50.0, ("d5", "e2"))]), 200.0, 1.0)
     assert store.commit() and store.db.execute("SELECT count(*) FROM call").fetchone() == (5,)
 
 
 def test_a_record_altered_after_it_was_stored_and_undecodable_bytes_are_findings(tmp_path):
     store = Store(str(tmp_path / "s.sqlite"))
-    store.take("a:1", piece(RECORDS), 100.0, 1.0)
+    store.store_answer("a:1", piece(RECORDS), 100.0, 1.0)
     forged = [*RECORDS[:2], Acted(10.0, ("forged", "e1")), *RECORDS[3:], Acted(40.0, ("d4", "e1"))]
     answer = piece(forged, after=4)
-    assert store.take("a:1", answer, 200.0, 1.0), "the chain does not match: the trail is read from its start"
-    store.take("a:1", piece(forged), 200.0, 1.0)
+    assert store.store_answer("a:1", answer, 200.0, 1.0), (
+        "the chain does not match: the trail is read from its start"
+    )
+    store.store_answer("a:1", piece(forged), 200.0, 1.0)
     undecodable = wire.Piece(
         name="n2",
         process="p",
@@ -181,7 +183,7 @@
         last=1,
         frames=b"nothing at all",
     )
-    store.take("b:1", undecodable, 200.0, 1.0)
+    store.store_answer("b:1", undecodable, 200.0, 1.0)
     kinds = {row for row in store.db.execute("SELECT kind, sender FROM finding")}
     assert {("fork", "n1"), ("answer spoilt", "n2")} <= kinds
     assert store.db.execute("SELECT count(*) FROM call WHERE doc IN ('d1', 'forged')").fetchone() == (2,)
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -195,9 +195,9 @@
                 if each.what == "adopted" and each.detail.startswith("list 2@")
             ]
             assert moments[-1][0] == "n1" and {sender for sender, _ in moments} == set(rig.senders)
-            late = {each.sender for each in stores.late(1).calls}
+            late = {each.sender for each in stores.late_calls(1).calls}
             assert "n1" in late and late <= {"n1", "n2"}
-            assert {each.sender for each in stores.after("e1", 2).calls} <= {"n1", "n2"}
+            assert {each.sender for each in stores.calls_after_removal("e1", 2).calls} <= {"n1", "n2"}
 
     asyncio.run(whole())
 
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -61,7 +61,7 @@
 def audited(rig, stores, since=0.0):
     """Returns the calls in the stores for every document that any endpoint received."""
     docs = {doc for _, doc, _ in received(rig, since)}
-    return call_keys(call for doc in docs for call in stores.document(doc).calls)
+    return call_keys(call for doc in docs for call in stores.document_calls(doc).calls)
 
 
 async def publish(rig, lists="list", **states):
@@ -93,7 +93,7 @@
         rig.load(120)
         await asyncio.sleep(1.0)
         stores = await open_stores(rig, behind_ms=500.0)
-        late, after = stores.late(1), stores.after("e1", number)
+        late, after = stores.late_calls(1), stores.calls_after_removal("e1", number)
         assert received(rig, at_ms, sender="n1", endpoint="e1"), (
             "the sender that was cut off called the endpoint"
         )
@@ -101,7 +101,7 @@
         assert call_keys(late.calls) == received(rig, at_ms, sender="n1")
         assert not any(unknown_of(late, f"n{index}") for index in range(1, 6))
         doc = after.calls[0].doc
-        assert [(call.sender, call.number) for call in stores.document(doc).calls] == [("n1", 1)]
+        assert [(call.sender, call.number) for call in stores.document_calls(doc).calls] == [("n1", 1)]
         kinds = {(finding.kind, finding.sender) for finding in stores.findings(grace_ms=0.0)}
         assert kinds == {("behind", "n1"), ("called after out", "n1")}
         rig.link("n1", "list").open()
@@ -112,9 +112,9 @@
         stores = await open_stores(rig, behind_ms=500.0)
         assert [status.behind for status in stores.status()] == [0] * 5
         assert not received(rig, reconnected_ms, endpoint="e1") and call_keys(
-            stores.late(1).calls
+            stores.late_calls(1).calls
         ) == received(rig, at_ms, reconnected_ms, "n1")
-        acted = {stretch.sender: stretch for stretch in stores.acted(1).stretches}
+        acted = {stretch.sender: stretch for stretch in stores.activity(1).stretches}
         assert not acted["n1"].open and acted["n1"].calls == len(received(rig, 0.0, reconnected_ms, "n1"))
 
     run_rig(tmp_path, scenario)
@@ -140,16 +140,18 @@
         assert not received(rig, removed_ms, restored_ms, endpoint="e1") and received(
             rig, restored_ms, endpoint="e1"
         )
-        assert not stores.after("e1", number).calls, "the restored list contains the endpoint again"
+        assert not stores.calls_after_removal("e1", number).calls, (
+            "the restored list contains the endpoint again"
+        )
         calls_after_restore = {
             stretch.sender: stretch.calls
-            for stretch in stores.acted(1).stretches
+            for stretch in stores.activity(1).stretches
             if stretch.from_ms > removed_ms
         }
         assert calls_after_restore == {
             name: len(received(rig, restored_ms, sender=name)) for name in rig.senders
         }
-        assert call_keys(stores.late(2).calls) == []
+        assert call_keys(stores.late_calls(2).calls) == []
 
     run_rig(tmp_path, scenario)
 
@@ -167,12 +169,14 @@
         stores = await open_stores(rig)
         differs = [finding.sender for finding in stores.findings() if finding.kind == "contents differ"]
         assert differs == ["n4", "n5"]
-        stretches = stores.acted(number).stretches
+        stretches = stores.activity(number).stretches
         assert len({stretch.digest for stretch in stretches}) == 2
         assert {stretch.sender: stretch.calls for stretch in stretches} == {
             name: len(received(rig, at_ms, sender=name)) for name in rig.senders
         }
-        assert call_keys(stores.after("e1", number).calls) == received(rig, at_ms, endpoint="e1")
+        assert call_keys(stores.calls_after_removal("e1", number).calls) == received(
+            rig, at_ms, endpoint="e1"
+        )
         assert {sender for sender, _, _ in received(rig, at_ms, endpoint="e1")} == {"n4", "n5"}
 
     run_rig(tmp_path, scenario, list_services=2)
@@ -188,7 +192,9 @@
         number, at_ms = await publish(rig, e1="leaving")
         await asyncio.sleep(1.6)
         stores = await open_stores(rig, without=("n1",), silent_ms=1000.0)
-        missing = [period for period in stores.after("e1", number).unknown if period.sender == "n1"]
+        missing = [
+            period for period in stores.calls_after_removal("e1", number).unknown if period.sender == "n1"
+        ]
         assert len(missing) == 1 and missing[0].from_ms <= suspended_ms + 250.0 and missing[0].to_ms > at_ms
         assert ("silent", "n1") in {(finding.kind, finding.sender) for finding in stores.findings()}
         for doc in range(8):
@@ -199,11 +205,14 @@
         rig.load(80)
         await asyncio.sleep(0.3)
         stores = await open_stores(rig, silent_ms=1000.0)
-        assert call_keys(stores.after("e1", number).calls) == received(rig, at_ms, endpoint="e1")
+        assert call_keys(stores.calls_after_removal("e1", number).calls) == received(
+            rig, at_ms, endpoint="e1"
+        )
         assert (
-            call_keys(stores.late(1).calls) == received(rig, at_ms, sender="n1")[: len(stores.late(1).calls)]
+            call_keys(stores.late_calls(1).calls)
+            == received(rig, at_ms, sender="n1")[: len(stores.late_calls(1).calls)]
         )
-        assert not unknown_of(stores.late(1), "n1") and not stores.findings(1e9)
+        assert not unknown_of(stores.late_calls(1), "n1") and not stores.findings(1e9)
 
     run_rig(tmp_path, scenario)
 
@@ -221,7 +230,7 @@
             await asyncio.gather(*(rig[name].start() for name in ("n1", "n2", "n3")))
         await asyncio.sleep(0.2)
         stores = await open_stores(rig)
-        acted = [stretch for number in range(1, 6) for stretch in stores.acted(number).stretches]
+        acted = [stretch for number in range(1, 6) for stretch in stores.activity(number).stretches]
         seen = received(rig)
         recorded = audited(rig, stores)
         extra = [key for key in recorded if key not in seen]
@@ -244,7 +253,7 @@
         await rig.until(lambda: 'event="holds the folder"' in rig["n1b"].text())
         await asyncio.sleep(0.4)
         stores = await open_stores(rig)
-        own_stretches = [stretch for stretch in stores.acted(1).stretches if stretch.sender == "n1"]
+        own_stretches = [stretch for stretch in stores.activity(1).stretches if stretch.sender == "n1"]
         assert len(own_stretches) == 2 and not own_stretches[0].open and own_stretches[1].open
         assert sum(stretch.calls for stretch in own_stretches) == len(received(rig, sender="n1"))
         assert not [finding for finding in stores.findings() if finding.kind != "silent"]
@@ -268,7 +277,7 @@
         stores = await open_stores(rig)
         found = {finding.kind for finding in stores.findings()}
         assert {"cloned folder", "another name"} <= found, stores.findings()
-        (lost,) = unknown_of(stores.document("d00001"), "n5")  # the copy replaced its own folder
+        (lost,) = unknown_of(stores.document_calls("d00001"), "n5")  # the copy replaced its own folder
         recorded = audited(rig, stores)  # both may have sent a document that was pending at n1
         assert [key for key in recorded if key not in received(rig)] == []
         missing = [key for key in received(rig) if key not in recorded]
@@ -291,13 +300,15 @@
         stores = await open_stores(rig, without=("n1", "n2"))
         gap = {
             period.sender: period
-            for period in stores.after("e1", number).unknown
+            for period in stores.calls_after_removal("e1", number).unknown
             if period.to_ms - period.from_ms > 400
         }
         assert set(gap) == {"n1", "n2"} and all(period.from_ms < cut_ms + 250.0 for period in gap.values())
         merged = await open_stores(rig, ("k1", "k2"))
         assert not [
-            period for period in merged.after("e1", number).unknown if period.to_ms - period.from_ms > 400
+            period
+            for period in merged.calls_after_removal("e1", number).unknown
+            if period.to_ms - period.from_ms > 400
         ]
         assert audited(rig, merged) == received(rig)
         stored = audited(rig, stores)
@@ -327,7 +338,7 @@
         stored = audited(rig, stores)
         seen = received(rig)
         assert stored and not [key for key in stored if key not in seen]
-        gaps = {period.sender: period for period in stores.document("d00001").unknown}
+        gaps = {period.sender: period for period in stores.document_calls("d00001").unknown}
         for call in rig.endpoints.calls:
             if (call.sender, call.doc, call.endpoint) not in stored:
                 assert gaps[call.sender].from_ms - 20.0 <= rig.wall(call.at_ms)
@@ -351,16 +362,18 @@
         await rig.quiet()
         rig.link("k1", "n1:ops").open()
         stores = await open_stores(rig)
-        own_stretch = next(stretch for stretch in stores.acted(1).stretches if stretch.sender == "n1")
+        own_stretch = next(stretch for stretch in stores.activity(1).stretches if stretch.sender == "n1")
         assert own_stretch.calls == len(received(rig, sender="n1")) > 900
-        gap = [period for period in stores.document("d00001").unknown if period.why.startswith("folded")]
+        gap = [
+            period for period in stores.document_calls("d00001").unknown if period.why.startswith("folded")
+        ]
         assert [period.sender for period in gap] == ["n1"] and cut_ms - 300.0 < gap[0].from_ms < gap[0].to_ms
-        lost = [doc for _, doc, _ in received(rig, sender="n1") if not stores.document(doc).calls]
+        lost = [doc for _, doc, _ in received(rig, sender="n1") if not stores.document_calls(doc).calls]
         assert lost, "some single calls are lost"
         for call in rig.endpoints.calls:
             if call.doc in lost:
                 assert gap[0].from_ms - 50.0 <= rig.wall(call.at_ms) <= gap[0].to_ms + 50.0
-        assert not unknown_of(stores.acted(1), "n1"), "the totals are still exact"
+        assert not unknown_of(stores.activity(1), "n1"), "the totals are still exact"
 
     run_rig(tmp_path, scenario, senders=2, fleet="[trail]\nbytes = 65536\n")
 
@@ -386,7 +399,7 @@
         stores = await open_stores(rig)
         found = {(finding.kind, finding.sender) for finding in stores.findings()}
         assert {("folder lost", "n1"), ("fork", "n2")} <= found
-        (lost,) = unknown_of(stores.document("d00001"), "n1")
+        (lost,) = unknown_of(stores.document_calls("d00001"), "n1")
         assert lost.why == "the folder was lost" and lost.to_ms - lost.from_ms < 1000.0
         missing = [key for key in received(rig) if key not in audited(rig, stores)]
         assert missing == [key for key in received(rig, lost.from_ms, lost.to_ms, "n1") if key in missing]
@@ -414,10 +427,10 @@
         await asyncio.sleep(0.4)
         stores = await open_stores(rig)
         assert [(finding.kind, finding.sender) for finding in stores.findings(1e9)] == [("wall clock", "n1")]
-        assert audited(rig, stores) == received(rig) and not stores.late(1).calls
+        assert audited(rig, stores) == received(rig) and not stores.late_calls(1).calls
         received_ms = {(call.sender, call.doc): rig.wall(call.at_ms) for call in rig.endpoints.calls}
         for doc in {doc for _, doc, _ in received(rig, sender="n1")}:
-            for call in stores.document(doc).calls:
+            for call in stores.document_calls(doc).calls:
                 assert abs(received_ms[call.sender, doc] - call.at_ms) < 200.0
 
     (tmp_path / "stepped.py").write_text(STEPPED_CLOCK_SENDER)
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -34,7 +34,7 @@
     seen = {each.doc: each.at_ms for each in rig.endpoints.calls if each.sender == "n1"}
     assert len(seen) == 20
     for doc, at in seen.items():
-        (call,) = reader.document(doc).calls
+        (call,) = reader.document_calls(doc).calls
         assert 0.0 <= WALL_MS + at - call.at_ms < 20.0
 
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -8,7 +8,7 @@
 from birchstack.fleet.settings import Signals
 from birchstack.fleet.signalling import Signalling
 from birchstack.interface import MOST_OBSERVERS, SignalKind
-from birchstack.keeper.config import Asks
+from birchstack.keeper.config import PollConfig
 from birchstack.keeper.relay import Relay
 from birchstack.signals import board as boards
 from birchstack.signals import model
@@ -236,7 +236,7 @@
     """One keeper's relay and some senders, with a clock by hand."""
 
     def __init__(self, *names):
-        self.now, self.relay = 0.0, Relay(Asks().signal_bytes)
+        self.now, self.relay = 0.0, Relay(PollConfig().signal_bytes)
         self.heard = {name: [] for name in names}
         self.senders = {name: self.made(name) for name in names}
 
@@ -259,7 +259,7 @@
         )
         self.now += back_ms
         if not lost:
-            self.relay.answered(name, name, piece, asked_ms, self.now)
+            self.relay.handle_answer(name, name, piece, asked_ms, self.now)
 
     def rounds(self, many=2):
         for _ in range(many):
