--- a/benchmarks/capacity/recoveries.py
+++ b/benchmarks/capacity/recoveries.py
@@ -55,7 +55,7 @@
     ledger = Ledger(folder, ROOM)
     read_s = time.process_time() - began
     for recalled in Recollection(ledger, ByHand(folder, lambda: 0.0)).of(60_000.0, listed):
-        sender.recover(0.0, recalled.recovery)
+        sender.restore_recovery(0.0, recalled.recovery)
     ledger.close()
     return read_s
 
@@ -78,8 +78,8 @@
             began = time.process_time()
             read_s = _start(folder, sender, listed)
             starts.append((time.process_time() - began, read_s))
-            if len(sender.avoided()) != down:
-                raise RuntimeError(f"{len(sender.avoided())} of {down} are known to be down")
+            if len(sender.ejected_endpoints()) != down:
+                raise RuntimeError(f"{len(sender.ejected_endpoints())} of {down} are known to be down")
     return {
         "disk": disk,
         "CPU of a change": change_s,
--- a/benchmarks/capacity/signals.py
+++ b/benchmarks/capacity/signals.py
@@ -86,7 +86,7 @@
         self.core.turn(0.0)
 
     def holds_back(self) -> bool:
-        return self.core._endpoints[ENDPOINT].ill
+        return self.core._endpoints[ENDPOINT].ejected
 
     def turn(self) -> None:
         self.core.turn(self.fleet.now)
@@ -95,18 +95,18 @@
     def _reported(self, reports: list[our.Report]) -> None:
         self.link()
         for report in reports:
-            self.core.reported(self.fleet.now, report)
+            self.core.report_received(self.fleet.now, report)
         self.turn()
 
     def link(self) -> None:
         if self.linked != self.signalling.live():
             self.linked = not self.linked
-            self.core.linked(self.fleet.now, self.linked)
+            self.core.signals_available(self.fleet.now, self.linked)
 
     # What the decisions ask for
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
-        self.fleet.called(self, doc_id, self.core._held[doc_id], patience_ms)
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
+        self.fleet.called(self, doc_id, self.core._held[doc_id], timeout_ms)
 
     def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
         self.signalling.observed(endpoint, kind, wait_ms)
@@ -162,7 +162,7 @@
 
     def called(self, member: Member, doc_id: str, document: object, patience_ms: float) -> None:
         self.seen.calls.append(self.now)
-        if self.is_down(self.now) and not document.out.trial:
+        if self.is_down(self.now) and not document.call.probe:
             self.seen.firsts.append(self.now)
         kind, ms = our.OK, ANSWER_MS
         if self.is_down(self.now):
--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -61,7 +61,7 @@
         self.calls, self.number, self.alarm = [], {}, float("inf")
         self.now, self.ended = 0.0, 0
 
-    def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
+    def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         self.number[doc_id] = self.number.get(doc_id, -1) + 1
         self.calls.append((doc_id, endpoint))
 
@@ -78,9 +78,9 @@
 
     def subscribe(self) -> None: ...
 
-    def tell(self, note: str) -> None: ...
+    def broadcast(self, note: str) -> None: ...
 
-    def remember(self, recovery: our.Recovery) -> None: ...
+    def save_recovery(self, recovery: our.Recovery) -> None: ...
 
     def log(self, text: str) -> None: ...
 
@@ -118,17 +118,17 @@
             setattr(self.sender, name, work.dictionary())
         self.change(our.WHOLE, [endpoint(each) for each in range(1, listed + 1)])
         for dest in self.sender._destinations.values():
-            dest.line = work.line()
+            dest.queue = work.line()
         for at in range(owed):
             left = 1_000.0 if at == owed - 1 else DAY_MS
             given = our.Submission(f"o{at}", 1 + at % down, "sync", left)
             self.sender.document(self.host.now, given)
         for ep in [self.sender._endpoints[f"s-{each}"] for each in range(1, down + 1)]:
-            self.sender._falls_ill(0.0, ep.route.destination, ep.route, ep, our.ERROR)
-            ep.route.trial_at = 500.0 if ep.name == "s-1" else 60_000.0  # one is due at a time
+            self.sender._eject(0.0, ep.route.destination, ep.route, ep, our.ERROR)
+            ep.route.next_probe_at = 500.0 if ep.name == "s-1" else 60_000.0  # one is due at a time
         self.turn()
         self.answer()
-        assert len(self.sender.avoided()) == down, "every one is known to be down"
+        assert len(self.sender.ejected_endpoints()) == down, "every one is known to be down"
         assert len(self.sender._held) == owed
 
     def turn(self) -> None:
@@ -183,7 +183,7 @@
 
     def expires(self) -> Callable[[], None]:
         """The newest of those owed can wait no more."""
-        ends = next(when for when, _, doc in self.sender._ends if doc.expiry < DAY_MS / 2.0)
+        ends = next(when for when, _, doc in self.sender._last_starts if doc.expiry < DAY_MS / 2.0)
         self.host.now = ends
         return self.turn
 
@@ -263,7 +263,7 @@
         self.node._listed(our.WHOLE, [(endpoint(each), ("127.0.0.1", 3)) for each in range(1, listed + 1)])
         self.node._turn()
         for destination in range(1, down + 1):
-            self.node._core.recall(0.0, f"s-{destination}", DAY_MS)
+            self.node._core.restore_wait(0.0, f"s-{destination}", DAY_MS)
         for at in range(owed):
             self.hand(f"o{at}", 1 + at % down)
             if at % TOGETHER == 0:
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -17,7 +17,7 @@
 from birchstack.emulator.rig.drawn import KINDS, play
 from birchstack.fleet import audit_files, audit_log, records, trail
 from birchstack.keeper import questions, store
-from tests.mutants import Patch, never
+from tests.mutants import Patch, no_op
 
 MUTANTS = {}
 
@@ -97,7 +97,7 @@
         return original(self, address, msgspec.structs.replace(answer, failing=False), *args)
 
     patch.set(store.Store, "store_answer", store_answer)
-    patch.set(audit_files.AuditFiles, "retry", never)
+    patch.set(audit_files.AuditFiles, "retry", no_op)
 
 
 @mutant("folding drops the totals of the segment before", ("keeper cut", "keeper killed"), True)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -96,7 +96,7 @@
         node._turn()
         node._turn()
         assert handed.said == [(CLOSED, 3000.0)] and not node._core._held and not len(node._calls)
-        assert node._core._out == 0
+        assert node._core._in_flight == 0
 
     node.run(story)
 
@@ -131,7 +131,7 @@
                 node._ledger.done(node._ledger.owed[handed.id])
         node._turn()
         assert len(node._answers) <= 4096 and not node._ledger.owed and not node._core._held
-        assert len(node._core._ends) < 5000 and not node._fresh and not node._starting
+        assert len(node._core._last_starts) < 5000 and not node._fresh and not node._starting
 
     node.run(story)
 
@@ -152,7 +152,7 @@
 def test_a_window_that_ends_during_a_long_turn_bars_the_call_that_the_turn_decided(node, window, written):
     async def story():
         kind = our.DocumentType("order", our.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False)
-        node._core.adopt(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
+        node._core.reconfigure(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
         node._front.types["order"], wall = 20000.0, node._lasting.ms()
         owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
         node._ledger.call(owed, "a", wall - 700.0)  # out when its process ended
