--- a/birchstack/keeper/asking.py
+++ b/birchstack/keeper/asking.py
@@ -40,7 +40,7 @@
         self._after = after
         self._on_result = on_result
         self._question = question
-        self._parser = http1.Responses(max_body=MAX_BODY_BYTES)
+        self._parser = http1.ResponseReader(max_body=MAX_BODY_BYTES)
         self._body = bytearray()
         self._link: Link | None = None
         self._sent_at = 0.0
@@ -71,7 +71,7 @@
                 else:
                     self._finish(wire.decode(self._body), "")
                     return
-        except (http1.Malformed, msgspec.DecodeError) as problem:
+        except (http1.MalformedError, msgspec.DecodeError) as problem:
             self._finish(None, f"malformed: {problem}")
 
     def lost(self) -> None:
--- a/birchstack/keeper/config.py
+++ b/birchstack/keeper/config.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from birchstack.net.driver import address
+from birchstack.net.driver import parse_address
 
 PositiveFloat = Annotated[float, Meta(gt=0.0)]
 AddressText = Annotated[str, Meta(min_length=3)]
@@ -104,7 +104,7 @@
 
 def _check_address(text: str, key: str) -> None:
     try:
-        address(text)
+        parse_address(text)
     except ValueError as problem:
         raise ConfigError(f"{key}: {problem}") from problem
 
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -22,7 +22,7 @@
 from birchstack.keeper.relay import Relay
 from birchstack.keeper.store import Store
 from birchstack.net.discovery import Watch
-from birchstack.net.driver import address
+from birchstack.net.driver import parse_address
 from birchstack.net.log import say
 from birchstack.net.machine import LastingClock, Machine
 
@@ -78,7 +78,7 @@
         self._latest_list, self._latest_states = self._store.latest_list()
         if self._config.lists:
             self._watch = Watch(
-                self._loop, address(self._config.lists.at), (), lambda mode, listed: None, self._on_list
+                self._loop, parse_address(self._config.lists.at), (), lambda mode, listed: None, self._on_list
             )
             self._watch.start({})
         say(
@@ -123,7 +123,7 @@
                 self._counts["asked"] += 1
                 self._polls[audit_address] = PollRequest(
                     self._loop,
-                    address(audit_address),
+                    parse_address(audit_address),
                     self._store.resume_after(audit_address),
                     self._relay.question(audit_address, self._machine.steady_ms()),
                     self._config.asks.timeout_s,
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -34,7 +34,7 @@
 
 @mutant("a turn is recorded after its calls")
 def _(patch):
-    original = audit_log.FleetAuditLog.turn
+    original = audit_log.FleetAuditLog.record_turn
 
     def turn(self, calls, refused, failed):
         delayed = getattr(self, "delayed", None)
@@ -42,7 +42,7 @@
         if delayed:
             original(self, *delayed)
 
-    patch.set(audit_log.FleetAuditLog, "turn", turn)
+    patch.set(audit_log.FleetAuditLog, "record_turn", turn)
 
 
 @mutant("an adoption is recorded when something more is adopted")
@@ -63,8 +63,10 @@
 
 @mutant("only the first call of a turn is recorded")
 def _(patch):
-    original = audit_log.FleetAuditLog.turn
-    patch.set(audit_log.FleetAuditLog, "turn", lambda self, calls, *args: original(self, calls[:1], *args))
+    original = audit_log.FleetAuditLog.record_turn
+    patch.set(
+        audit_log.FleetAuditLog, "record_turn", lambda self, calls, *args: original(self, calls[:1], *args)
+    )
 
 
 @mutant("a number is used twice")
