--- a/birchstack/net/__init__.py
+++ b/birchstack/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sender: the decisions on sockets."""
+"""The sender's runtime on asyncio: sockets, files, timers and signals around the decision core."""
--- a/birchstack/net/by_hand.py
+++ b/birchstack/net/by_hand.py
@@ -1,6 +1,6 @@
-"""Endpoints that operators took out by hand: kept in the folder, over restarts and upgrades.
+"""Administrative state of endpoints: those that operators disabled, kept across restarts and upgrades.
 
-Owns the file `out-by-hand`. Must never tell anybody: the sender asks how an entry of the list counts now.
+Owns the file `out-by-hand`. Must never notify anybody: the sender asks for the effective state of an entry.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from birchstack.net.machine import Folder
 from birchstack.net.operators import Answer
 
-FILE = "out-by-hand"  # written whole
-MOST = 4096  # endpoints out at once, and returns remembered
+FILE = "out-by-hand"  # always replaced as a whole
+MOST = 4096  # endpoints disabled at once, and times of re-enabling kept
 log = logging.getLogger(__name__)
 
 
 class ByHand:
-    """out: those taken out; back: those put back, and when by the lasting clock."""
+    """out: the disabled endpoints; back: those enabled again, and when by the persistent clock."""
 
     def __init__(self, folder: Folder, clock: Callable[[], float]) -> None:
         self._folder, self._clock = folder, clock
@@ -30,27 +30,27 @@
         self.read()
 
     def read(self) -> None:
-        """What the folder says; another process may have been told more meanwhile."""
+        """Loads the file, which another process may have changed since it was last read."""
         self.out, self.back = {}, {}
         try:
-            told = json.loads(self._folder.read(FILE))
+            stored = json.loads(self._folder.read(FILE))
             self.out, self.back = (
-                {str(name): None for name in told["out"][-MOST:]},
-                {str(name): float(when) for name, when in [*told["back"].items()][-MOST:]},
+                {str(name): None for name in stored["out"][-MOST:]},
+                {str(name): float(when) for name, when in [*stored["back"].items()][-MOST:]},
             )
         except FileNotFoundError:
             pass
-        except (OSError, ValueError, TypeError, KeyError, AttributeError) as problem:  # only a broken disk
+        except (OSError, ValueError, TypeError, KeyError, AttributeError) as problem:  # the disk is damaged
             say(log, "endpoints out by hand not read", logging.ERROR, problem=problem)
 
     def as_told(self, entry: our.Endpoint) -> our.Endpoint:
-        """Out by hand counts as draining, whatever discovery lists; what is gone is gone."""
+        """Returns the entry with its effective state: a disabled endpoint that is listed as ready drains."""
         if entry.name in self.out and entry.state == our.READY:
             return dataclasses.replace(entry, state=our.DRAINING)
         return entry
 
     def set(self, endpoint: str, out: bool, listed: bool) -> Answer:
-        """Takes an endpoint out, or lets it serve again: on disk before the yes, for the next process too."""
+        """Disables or enables an endpoint; the change is on disk before it takes effect."""
         if not listed and endpoint not in self.out:
             return Answer(False, f"id: {endpoint!r} is not listed", 404)
         if out == (endpoint in self.out):
--- a/birchstack/net/config.py
+++ b/birchstack/net/config.py
@@ -1,7 +1,7 @@
-"""What a sender is told at its start and by SIGHUP: read, checked and given defaults here and nowhere else.
+"""The sender's configuration, read at the start and on SIGHUP: the only place of its validation and defaults.
 
-Owns the names of the configuration and of the environment. Must never decide anything about documents: the
-decisions get their settings by birchstack.settings, and a faulty key is named in the ConfigError.
+Owns the names of configuration keys and environment variables. Must never decide anything about documents:
+birchstack.settings decodes the settings of the decisions. A ConfigError names the faulty key.
 """
 
 from __future__ import annotations
@@ -22,24 +22,27 @@
     "settings.limits.connIdleMs": 10000.0,
     "settings.limits.dialTimeoutMs": 1000.0,
 }
-NUMBERS = (
+REQUIRED_NUMBERS = (  # keys of the settings without which nothing can be decided
     "nInstances",
     "domain.callsOut",
     "limits.maxOpen",
     "limits.sendCap",
     "rules.coldFrom",
     "rules.warmUpMs",
-)  # without these nothing can be decided
-
-TOLD = ("name", "listen", "discovery", "state", "ops")  # keys that the environment may say instead
-RELOADED = ("discovery", "known", "seed", "settings", "idle_ms", "dial_ms", "kinds", "version")  # at SIGHUP
-NOT_CARRIED = {
+)
+# Keys that the environment variable BALANCER_<KEY> overrides
+ENVIRONMENT_KEYS = ("name", "listen", "discovery", "state", "ops")
+# Fields that SIGHUP applies; the others need a restart
+RELOADED = ("discovery", "known", "seed", "settings", "idle_ms", "dial_ms", "kinds", "version")
+# Settings that must be off, since this sender's connections have no way to carry what they switch on
+UNSUPPORTED = {
     "limits.mayTell": "notes between senders",
     "limits.probes": "probes",
     "limits.mayDuplicate": "second copies",
-}  # switches that sockets have no way for
-ONE_ONLY = {"limits.streamsPerConn": "calls on one connection", "domain.perCall": "documents in one call"}
-WORDS = {
+}
+# Settings that must be 1
+SINGLE_ONLY = {"limits.streamsPerConn": "calls on one connection", "domain.perCall": "documents in one call"}
+ALLOWED_VALUES = {
     "registryMode": ("pushed", "on_request"),
     "weightSource": ("off", "nominal", "rough"),
     "domain.losesWorth": ("linear",),
@@ -47,11 +50,13 @@
 
 
 class ConfigError(Exception):
-    """Names the key that is missing or wrong."""
+    """The configuration is not usable; the message names the key that is missing or wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A validated configuration."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
@@ -59,16 +64,17 @@
     seed: int
     sockets: int  # file descriptors that the process may hold
     disk_bytes: int
-    idle_ms: float  # an endpoint closes a connection that lies idle for so long
-    dial_ms: float  # a connection not ready by then has failed
+    idle_ms: float  # time after which endpoints close an idle connection
+    dial_ms: float  # time-out for establishing a connection
     kinds: tuple[str, ...]
-    known: dict  # the list as last had, in discovery's form
+    known: dict  # the last known list of endpoints, in discovery's format
     settings: Settings
-    ops: tuple[str, int] | None = None  # where operators call; none where neither file nor variable says
-    version: int | None = None  # of the file, where whoever writes it numbers it
+    ops: tuple[str, int] | None = None  # address of the operators' server; None if there is none
+    version: int | None = None  # version number of the file, if its author assigns one
 
 
-def _at(raw: object, path: str, kind: type | tuple[type, ...]) -> object:
+def _lookup(raw: object, path: str, kind: type | tuple[type, ...]) -> object:
+    """Returns the value at a dotted path or its default; numbers must be positive."""
     value = raw
     for name in path.split("."):
         value = value.get(name) if isinstance(value, dict) else None
@@ -77,7 +83,7 @@
             raise ConfigError(f"{path}: missing")
         value = DEFAULTS[path]
     if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(f"{path}: {value!r} is of the wrong kind")
+        raise ConfigError(f"{path}: {value!r} has the wrong type")
     if isinstance(value, int | float) and not value > 0:
         raise ConfigError(f"{path}: {value!r} is not above 0")
     return value
@@ -85,7 +91,7 @@
 
 def _address(raw: dict, key: str) -> tuple[str, int]:
     try:
-        return address(_at(raw, key, str))
+        return address(_lookup(raw, key, str))
     except ValueError as problem:
         raise ConfigError(f"{key}: {problem}") from problem
 
@@ -102,101 +108,110 @@
     if version is not None and (
         isinstance(version, bool) or not isinstance(version, int) or not 0 <= version < 1 << 63
     ):
-        raise ConfigError(f"version: {version!r} is not a whole number from 0 up")
+        raise ConfigError(f"version: {version!r} is not an integer of at least 0")
     return version
 
 
-def _found(words: dict, key: str) -> object:
+def _optional(raw: dict, key: str) -> object:
+    """Returns the value of a setting, with at most one group in its key; None if it is left out."""
     group, _, name = key.rpartition(".")
-    within = words.get(group) if group else words
-    return within.get(name) if isinstance(within, dict) else None
+    parent = raw.get(group) if group else raw
+    return parent.get(name) if isinstance(parent, dict) else None
 
 
-def _check(words: dict) -> None:
-    """What the decisions read beside the plain numbers; what is left out has its default."""
-    for key, what in NOT_CARRIED.items():
-        value = _found(words, key)
+def _check(raw_settings: dict) -> None:
+    """Validates the optional settings; those left out have their defaults."""
+    for key, what in UNSUPPORTED.items():
+        value = _optional(raw_settings, key)
         if value is not None and not isinstance(value, bool):
             raise ConfigError(f"settings.{key}: {value!r} is neither true nor false")
         if value:
             raise ConfigError(f"settings.{key}: true, but this sender has no way to carry {what}")
-    for key, what in ONE_ONLY.items():
-        value = _found(words, key)
+    for key, what in SINGLE_ONLY.items():
+        value = _optional(raw_settings, key)
         for each in value if isinstance(value, list) else [value]:
             if each is not None and (isinstance(each, bool) or each != 1):
                 raise ConfigError(f"settings.{key}: {each!r}, but this sender carries 1 of {what}")
-    for key, allowed in WORDS.items():
-        value = _found(words, key)
+    for key, allowed in ALLOWED_VALUES.items():
+        value = _optional(raw_settings, key)
         if value is not None and value not in allowed:
-            raise ConfigError(f"settings.{key}: {value!r} is none of {', '.join(allowed)}")
-    kinds = words.get("hostTypes") or []
+            raise ConfigError(f"settings.{key}: {value!r} is not one of {', '.join(allowed)}")
+    kinds = raw_settings.get("hostTypes") or []
     if not isinstance(kinds, list) or not all(isinstance(kind, str) for kind in kinds):
         raise ConfigError("settings.hostTypes: not a list of names")
     for key in ("domain.perCall", "domain.routesApart"):
-        value = _found(words, key)
+        value = _optional(raw_settings, key)
         if value is not None and (not isinstance(value, list) or len(value) != max(1, len(kinds))):
             raise ConfigError(f"settings.{key}: not a list with one entry for each of hostTypes")
-    if not all(isinstance(each, bool) for each in _found(words, "domain.routesApart") or ()):
+    if not all(isinstance(each, bool) for each in _optional(raw_settings, "domain.routesApart") or ()):
         raise ConfigError("settings.domain.routesApart: an entry is neither true nor false")
-    rest = _found(words, "rules.settleAfterDoubtMs")
-    if rest is not None and (isinstance(rest, bool) or not isinstance(rest, int | float) or rest < 0):
-        raise ConfigError(f"settings.rules.settleAfterDoubtMs: {rest!r} is not a number from 0 up")
-    for at, service in enumerate(words["services"]):
+    key_rest = _optional(raw_settings, "rules.settleAfterDoubtMs")
+    if key_rest is not None and (
+        isinstance(key_rest, bool) or not isinstance(key_rest, int | float) or key_rest < 0
+    ):
+        raise ConfigError(f"settings.rules.settleAfterDoubtMs: {key_rest!r} is not a number of at least 0")
+    for index, service in enumerate(raw_settings["services"]):
         in_order = service.get("oneAtATime")
         if in_order is not None and not isinstance(in_order, bool):
-            raise ConfigError(f"settings.services[{at}].oneAtATime: {in_order!r} is neither true nor false")
+            raise ConfigError(
+                f"settings.services[{index}].oneAtATime: {in_order!r} is neither true nor false"
+            )
 
 
 def decode(raw: object, environment: Mapping[str, str]) -> Config:
-    """The configuration; the environment names what the file leaves out."""
+    """Validates a configuration; environment variables override some of its keys."""
     if not isinstance(raw, dict):
         raise ConfigError("the configuration is not an object")
-    told = {
+    overrides = {
         key: environment[f"BALANCER_{key.upper()}"]
-        for key in TOLD
+        for key in ENVIRONMENT_KEYS
         if environment.get(f"BALANCER_{key.upper()}")
     }
-    raw = {**raw, **told}
-    words, number = _at(raw, "settings", dict), (int, float)
-    for key in NUMBERS:
-        _at(raw, f"settings.{key}", number)
-    for at, service in enumerate(_at(raw, "settings.services", list)):
+    raw = {**raw, **overrides}
+    raw_settings = _lookup(raw, "settings", dict)
+    number = (int, float)
+    for key in REQUIRED_NUMBERS:
+        _lookup(raw, f"settings.{key}", number)
+    for index, service in enumerate(_lookup(raw, "settings.services", list)):
         for key in ("objectiveMs", "deadlineMs", "importance"):
             if not isinstance(service, dict) or not isinstance(service.get(key), number):
-                raise ConfigError(f"settings.services[{at}].{key}: missing or not a number")
-    _check(words)
+                raise ConfigError(f"settings.services[{index}].{key}: missing or not a number")
+    _check(raw_settings)
     try:
-        decided = settings.decode(words)
+        decision_settings = settings.decode(raw_settings)
     except KeyError as problem:
         raise ConfigError(f"settings: key {problem.args[0]!r} is missing or its value unknown") from problem
     except (TypeError, AttributeError, ValueError) as problem:
         raise ConfigError(f"settings: {problem}") from problem
-    state = _at(raw, "state", str)
+    state = _lookup(raw, "state", str)
     if not os.path.isdir(state):
         raise ConfigError(f"state: {state!r} is not a folder")
     known = raw.get("known") or {}
     if not isinstance(known, dict):
         raise ConfigError("known: not an object")
     return Config(
-        name=_at(raw, "name", str),
+        name=_lookup(raw, "name", str),
         listen=_address(raw, "listen"),
         discovery=_address(raw, "discovery"),
         state=state,
         seed=_seed(str(raw.get("seed") or "0")),
-        sockets=int(_at(raw, "limits.sockets", number)),
-        disk_bytes=int(_at(raw, "limits.disk_mb", number) * 1_000_000),
-        idle_ms=float(_at(raw, "settings.limits.connIdleMs", number)),
-        dial_ms=float(_at(raw, "settings.limits.dialTimeoutMs", number)),
-        kinds=tuple(words.get("hostTypes") or ()),
+        sockets=int(_lookup(raw, "limits.sockets", number)),
+        disk_bytes=int(_lookup(raw, "limits.disk_mb", number) * 1_000_000),
+        idle_ms=float(_lookup(raw, "settings.limits.connIdleMs", number)),
+        dial_ms=float(_lookup(raw, "settings.limits.dialTimeoutMs", number)),
+        kinds=tuple(raw_settings.get("hostTypes") or ()),
         known=known,
-        settings=decided,
+        settings=decision_settings,
         ops=_address(raw, "ops") if raw.get("ops") is not None else None,
         version=_version(raw),
     )
 
 
 def load(environment: Mapping[str, str] = os.environ, again: bool = False) -> Config:
-    """Reads the file; again: while the sender runs, when the file says where discovery is now."""
+    """Reads the configuration file that BALANCER_CONFIG names.
+
+    again: the sender is running; the file's address of discovery then overrides the environment's, which
+    cannot change."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG: not set; it names the configuration file")
@@ -211,34 +226,39 @@
 
 
 def fits(fresh: Config, old: Config, held: set[str], listed: int) -> None:
-    """While it runs: refuses what the documents and endpoints at hand do not allow. held: types of documents;
-    listed: the last kind of which an endpoint is listed."""
+    """Raises ConfigError if a running sender cannot apply `fresh` to its current documents and endpoints.
+
+    held: types of the documents held; listed: the highest kind of any listed endpoint."""
     effects = {kind.name: kind.effect for kind in fresh.settings.types}
     before = {kind.name: kind.effect for kind in old.settings.types}
     for name in sorted(held):
-        at = f"settings.services: documents of {name!r} are held, and it"
+        prefix = f"settings.services: documents of {name!r} are held, and it"
         if name not in effects:
-            raise ConfigError(f"{at} is missing")
+            raise ConfigError(f"{prefix} is missing")
         if effects[name] != before.get(name, effects[name]):
-            raise ConfigError(f"{at} changes its effect")
-    both = min(len(fresh.kinds), len(old.kinds))
-    if fresh.kinds[:both] != old.kinds[:both] or listed >= max(1, both):
+            raise ConfigError(f"{prefix} changes its effect")
+    common = min(len(fresh.kinds), len(old.kinds))  # kinds that both have
+    if fresh.kinds[:common] != old.kinds[:common] or listed >= max(1, common):
         raise ConfigError(
-            "settings.hostTypes: while it runs, kinds come and go only at the end, and "
-            "none that is listed may go"
+            "settings.hostTypes: while the sender runs, kinds can be added and removed only at the end, "
+            "and not removed while an endpoint of the kind is listed"
         )
 
 
 def take_over(fresh: Config, old: Config) -> tuple[Config, list[str], list[str]]:
-    """At SIGHUP: the configuration from now on, the settings that change, and what waits for a restart."""
+    """Returns the new configuration, the names of changed settings, and of changes that need a restart."""
     changed = [
         each.name
         for each in dataclasses.fields(Settings)
         if getattr(fresh.settings, each.name) != getattr(old.settings, each.name)
     ]
-    waits = [
+    needs_restart = [
         each.name
         for each in dataclasses.fields(Config)
         if each.name not in RELOADED and getattr(fresh, each.name) != getattr(old, each.name)
     ]
-    return dataclasses.replace(old, **{name: getattr(fresh, name) for name in RELOADED}), changed, waits
+    return (
+        dataclasses.replace(old, **{name: getattr(fresh, name) for name in RELOADED}),
+        changed,
+        needs_restart,
+    )
--- a/birchstack/net/discovery.py
+++ b/birchstack/net/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery: follows the list of endpoints by a watch that is asked for again whenever it falls silent.
+"""Client of the discovery service: watches the list of endpoints by long poll.
 
-Owns the connection to discovery's agent, the version of the list and the wire's names for its entries. Must
-never drop what was listed because discovery is away.
+Owns the connection to the discovery agent, the version of the list and the wire names of its entries. Must
+never drop listed endpoints because discovery is unavailable.
 """
 
 from __future__ import annotations
@@ -17,25 +17,28 @@
 from birchstack.net.driver import Dial, Link, address
 from birchstack.net.log import say
 
-BEAT_S, BEATS = 2.0, 2.5  # a line comes so often; after so many without one it is silent
-ANSWER_S, AGAIN_S = 2.0, 0.5  # an answer begins at once; a watch that ended is asked for again
-FIRST_S = 0.5  # the first list of a start comes at once, or the one known counts
-# What discovery has counts as told TOLD_S after it could be reached, whatever failed before. The next ask
-# that it can answer begins ASKED_S after that moment at the latest: one that waits for its dial or its head
-# is given up ANSWER_S after it began; one that says nothing whole BEAT_S * BEATS after it began, or last
-# did; what ends by itself just before is asked for again AGAIN_S later: max(2, 5) + 0.5 = 5.5 s. The other
-# 0.5 s are for the dial, the head and the list. A longer pause between asks has to fit in here
-# (tests/test_watch_bound.py).
-TOLD_S, ASKED_S = 6.0, max(ANSWER_S, BEAT_S * BEATS) + AGAIN_S
-MOST_LIST = 4 << 20
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-MOST_REV = (1 << 63) - 1  # what every keeper of versions can hold
+BEAT_S = 2.0  # interval of the agent's heartbeats
+BEATS = 2.5  # heartbeat intervals without data after which a watch counts as silent
+ANSWER_S = 2.0  # time-out for the dial and the response head
+AGAIN_S = 0.5  # delay before a watch that ended is requested again
+FIRST_S = 0.5  # wait for the first list at the start, before the configured list is used
+# A change counts as known to the sender at the latest TOLD_S after discovery became reachable, whatever
+# failed before. The next request that discovery can answer begins at most ASKED_S after that moment: a
+# request that waits for its dial or response head is abandoned ANSWER_S after it began; one that delivers
+# nothing complete is abandoned BEAT_S * BEATS after it began or last delivered; one that ends by itself just
+# before is repeated AGAIN_S later: max(2, 5) + 0.5 = 5.5 s. The other 0.5 s are for the dial, the head and
+# the list. A longer delay between requests has to fit in here (tests/test_watch_bound.py).
+TOLD_S = 6.0
+ASKED_S = max(ANSWER_S, BEAT_S * BEATS) + AGAIN_S
+MOST_LIST = 4 << 20  # bytes of an incomplete list
+MOST_REV = (1 << 63) - 1  # largest version that every component that stores versions can hold
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 STATES = {"active": our.READY, "leaving": our.DRAINING, "left": our.GONE}
 log = logging.getLogger(__name__)
 
 
 def entries(lines: list[dict], kinds: tuple[str, ...]) -> list[tuple[our.Endpoint, tuple[str, int]]]:
-    """Reads a list's lines: each endpoint and its address."""
+    """Decodes the targets of a list into endpoints and their addresses."""
     return [
         (
             our.Endpoint(
@@ -53,12 +56,14 @@
 
 
 class Watch:
-    """listed(mode, entries) hears of every list and change. told(line, source) hears of each before, and may
-    say no: the list stays as it was.
+    """Keeps a watch on the list of endpoints and requests it again whenever it ends or falls silent.
 
-    One clock tells its silence: it runs from the ask, and only a whole list, a change or a beat sets it back.
-    Bytes alone do not, nor does the head: an answer that begins late and never ends would keep a broken watch
-    open for longer than a change may take."""
+    listed(mode, entries) is called with every list and delta. told(message, source) is called before each,
+    and may return False to reject it.
+
+    A single timer detects silence. It starts with the request, and only a complete list, delta or heartbeat
+    restarts it. Single bytes do not, nor does the response head: otherwise a response that begins late and
+    never completes would keep a broken watch open for longer than a change may take."""
 
     def __init__(
         self,
@@ -66,61 +71,73 @@
         where: tuple[str, int],
         kinds: tuple[str, ...],
         listed: Callable,
-        told: Callable[[dict, str], bool] = lambda told, source: True,
+        told: Callable[[dict, str], bool] = lambda message, source: True,
     ) -> None:
-        self._loop, self._where, self._kinds, self._listed, self._told = loop, where, kinds, listed, told
-        self._version, self._heard_at, self._asked_at = 0, loop.time(), 0.0
-        self._known: tuple[dict, list, int] | None = None  # a start's list, until a watch says more
+        self._loop = loop
+        self._address = where
+        self._kinds = kinds
+        self._on_list = listed
+        self._accepts = told
+        self._version = 0
+        self._heard_at = loop.time()
+        self._requested_at = 0.0
+        self._known: tuple[dict, list, int] | None = None  # the configured list, until a watch delivers one
         self._link: Link | None = None
         self._dial: Dial | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._held, self._lines = bytearray(), []  # half a line; the lines of half an object,
-        self._depth = self._size = 0  # its open brackets, and its size
+        self._buffer = bytearray()  # an incomplete line
+        self._lines = []  # the lines of an incomplete object
+        self._depth = self._size = 0  # open brackets and bytes of the incomplete object
         self._reader = http1.Responses(max_body=None)
         self._stopped = False
         self._first = loop.create_future()  # done with the first list of a watch
 
     def start(self, known: dict) -> None:
-        """known, had before, may be old: it names endpoints that went while no process ran. It waits for what
-        discovery says of it; see first()."""
+        """Starts the watch from the list in the configuration.
+
+        The configured list may be outdated and name endpoints that were removed while no process ran. It is
+        therefore held back until discovery delivers a list or a delta to it; see first()."""
         if known.get("targets") is not None:
             self._known = self._read(json.dumps({**known, "all": True}))
             self._version = self._known[2] if self._known else 0
-        self._ask()
+        self._request()
 
     async def first(self) -> None:
-        """Returns with the first list. It comes at once; only where discovery is silent, known counts as it
-        is."""
+        """Waits for the first list; if discovery stays silent for FIRST_S, uses the configured list."""
         await asyncio.wait([self._first], timeout=FIRST_S)
-        self._from_known()
+        self._apply_known()
 
     def move(self, where: tuple[str, int], kinds: tuple[str, ...]) -> None:
-        """Goes on at another address, from the version that it has; with other kinds, from the whole list."""
+        """Changes the address, continuing from the current version; new kinds need the full list again."""
         if kinds != self._kinds:
             self._version = 0
-        if where != self._where or kinds != self._kinds:
-            self._where, self._kinds = where, kinds
-            self._ask()
+        if where != self._address or kinds != self._kinds:
+            self._address, self._kinds = where, kinds
+            self._request()
 
     def silent_ms(self) -> float:
-        """Since the watch last said anything."""
+        """Returns the time since the watch last delivered anything."""
         return (self._loop.time() - self._heard_at) * 1000.0
 
     def stop(self) -> None:
+        """Ends the watch for good."""
         self._stopped = True
-        self._hang_up()
+        self._disconnect()
 
-    def _ask(self) -> None:
-        self._hang_up()
+    def _request(self) -> None:
+        """Abandons the current request and starts a new one."""
+        self._disconnect()
         if self._stopped:
             return
-        self._reader, self._held, self._lines = http1.Responses(max_body=None), bytearray(), []
+        self._reader = http1.Responses(max_body=None)
+        self._buffer = bytearray()
+        self._lines = []
         self._depth = self._size = 0
-        self._asked_at = self._loop.time()
-        self._timer = self._loop.call_at(self._asked_at + ANSWER_S, self._ask)
-        self._dial = Dial(self._loop, self._where, self, self._again)
+        self._requested_at = self._loop.time()
+        self._timer = self._loop.call_at(self._requested_at + ANSWER_S, self._request)
+        self._dial = Dial(self._loop, self._address, self, self._retry)
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         if self._timer:
             self._timer.cancel()
         if self._dial:
@@ -129,96 +146,105 @@
             self._link.abort()
         self._dial = self._link = None
 
-    def _again(self) -> None:
-        self._hang_up()
-        self._timer = self._loop.call_later(AGAIN_S, self._ask)
+    def _retry(self) -> None:
+        self._disconnect()
+        self._timer = self._loop.call_later(AGAIN_S, self._request)
 
-    def _heard(self, since: float | None = None) -> None:
+    def _restart_timer(self, since: float | None = None) -> None:
+        """Notes that the watch is alive; its silence counts from `since`, by default from now."""
         self._heard_at = self._loop.time()
         if self._timer:
             self._timer.cancel()
-        self._timer = self._loop.call_at((since or self._heard_at) + BEAT_S * BEATS, self._ask)
+        self._timer = self._loop.call_at((since or self._heard_at) + BEAT_S * BEATS, self._request)
 
     def opened(self, link: Link) -> None:
+        """Called when the connection is established: sends the request."""
         self._link, self._dial = link, None
         after = f"&after={self._version}" if self._version else ""
-        link.write(http1.request("GET", f"/discovery/hosts?watch=1{after}", "{}:{}".format(*self._where)))
+        link.write(http1.request("GET", f"/discovery/hosts?watch=1{after}", "{}:{}".format(*self._address)))
 
     def lost(self) -> None:
+        """Called when the connection is lost."""
         self._link = None
-        self._again()
+        self._retry()
 
     def received(self, data: memoryview) -> None:
+        """Called with data from the connection."""
         ended = False
         try:
             for event in self._reader.feed(data):
                 if isinstance(event, http1.Response):
                     if event.status != 200:
                         raise http1.Malformed(f"status {event.status}")
-                    self._heard(self._asked_at)
+                    self._restart_timer(self._requested_at)
                 elif event is http1.END:
-                    ended = True  # what came whole before it counts
+                    ended = True  # complete lines received before it are still processed
                     break
                 else:
-                    self._held += event
-            *lines, self._held = self._held.split(b"\n")
+                    self._buffer += event
+            *lines, self._buffer = self._buffer.split(b"\n")
             for line in lines:
                 self._line(line)
-            if self._size + len(self._held) > MOST_LIST:
+            if self._size + len(self._buffer) > MOST_LIST:
                 raise http1.Malformed("list too long")
             if ended:
-                self._again()
+                self._retry()
         except http1.Malformed as problem:
             say(log, "the watch broke", logging.WARNING, problem=problem)
-            self._again()
+            self._retry()
 
     def _line(self, line: bytes | bytearray) -> None:
-        """One line: a beat, a list or a change, or a part of one that comes indented. No text of JSON goes
-        over the end of a line, so each line's brackets can be counted by themselves."""
+        """Processes one line: a heartbeat (empty), a list or delta, or a part of an indented one.
+
+        A JSON string cannot span lines, so the brackets of each line can be counted separately."""
         if not line.strip():
             if not self._lines:
-                self._heard()
+                self._restart_timer()
             return
-        bare = STRING.sub(b"", line)
+        bare = JSON_STRING.sub(b"", line)
         self._depth += sum(map(bare.count, (b"{", b"["))) - sum(map(bare.count, (b"}", b"]")))
         self._lines.append(line)
         self._size += len(line)
         if self._depth <= 0:
-            whole, self._lines, self._depth, self._size = b"\n".join(self._lines), [], 0, 0
-            if not self._list(whole):
+            text = b"\n".join(self._lines)
+            self._lines = []
+            self._depth = 0
+            self._size = 0
+            if not self._apply(text):
                 raise http1.Malformed("list")
-            self._heard()
+            self._restart_timer()
 
     def _read(self, text: bytes | str) -> tuple[dict, list, int] | None:
-        """A whole list or a change: as told, its entries, its version; None where it cannot be read."""
+        """Decodes a list or delta into message, entries and version; None if it is malformed."""
         try:
-            told = json.loads(text)
-            listed = entries(told["targets"], self._kinds)
-            rev = told["rev"]
+            message = json.loads(text)
+            listed = entries(message["targets"], self._kinds)
+            rev = message["rev"]
             if isinstance(rev, bool) or not isinstance(rev, int) or not 0 <= rev <= MOST_REV:
                 raise ValueError(f"rev: {rev!r} is not a version")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as problem:
             say(log, "malformed list", logging.WARNING, problem=f"{type(problem).__name__}: {problem}")
             return None
-        return told, listed, rev
+        return message, listed, rev
 
-    def _list(self, text: bytes) -> bool:
-        """What cannot be read leaves the list as it was."""
+    def _apply(self, text: bytes) -> bool:
+        """Applies a list or delta; returns False and leaves the list as it was if it is malformed."""
         read = self._read(text)
         if read is None:
             return False
-        told, listed, rev = read
-        if told.get("all"):
+        message, listed, rev = read
+        if message.get("all"):
             self._known = None
-        self._from_known()  # what changed since the list that was known, on top of it
-        if self._told(told, "{}:{}".format(*self._where)):
+        self._apply_known()  # a delta to the configured list needs that list first
+        if self._accepts(message, "{}:{}".format(*self._address)):
             self._version = rev
-            self._listed(our.WHOLE if told.get("all") else our.CHANGES, listed)
+            self._on_list(our.WHOLE if message.get("all") else our.CHANGES, listed)
         if not self._first.done():
             self._first.set_result(None)
         return True
 
-    def _from_known(self) -> None:
+    def _apply_known(self) -> None:
+        """Applies the configured list, unless that was done or a full list has replaced it."""
         known, self._known = self._known, None
-        if known and self._told(known[0], "known"):
-            self._listed(our.KNOWN, known[1])
+        if known and self._accepts(known[0], "known"):
+            self._on_list(our.KNOWN, known[1])
--- a/birchstack/net/listed.py
+++ b/birchstack/net/listed.py
@@ -1,6 +1,6 @@
-"""The list of endpoints as it stands, and which destinations were ever in it.
+"""The current list of endpoints, and the destinations that it has ever named.
 
-Owns the entries by name. Must never forget an endpoint that discovery did not take away.
+Owns the entries by name. Must never drop an endpoint that discovery did not remove.
 """
 
 from __future__ import annotations
@@ -8,30 +8,34 @@
 from birchstack import interface as our
 from birchstack.net.calls import Calls
 
-LEAST = 4096  # destinations remembered, if fewer endpoints are listed
+LEAST = 4096  # destinations remembered at least, even if fewer endpoints are listed
 
 
 class Listed:
+    """Applies lists and deltas from discovery, and passes addresses on to the calls."""
+
     def __init__(self, calls: Calls) -> None:
         self._calls = calls
         self.entries: dict[str, our.Endpoint] = {}  # as discovery lists them
-        self._destinations: dict[int, None] = {}  # the longest unheard of first
+        self._destinations: dict[int, None] = {}  # least recently listed first
 
     def serves(self, destination: int) -> bool:
-        """False for a destination that is in no list; as long as there was no list, nobody knows."""
+        """Returns False for a destination that no list has named; True for all before the first list."""
         return destination in self._destinations or not self._destinations
 
     def ready(self, destination: int) -> bool:
+        """Returns whether the destination has a listed endpoint in the ready state."""
         return any(
             entry.state == our.READY and entry.destination == destination for entry in self.entries.values()
         )
 
     def last_kind(self) -> int:
+        """Returns the highest kind of any listed endpoint."""
         return max((entry.kind for entry in self.entries.values()), default=0)
 
     def apply(self, mode: str, listed: list[tuple[our.Endpoint, tuple[str, int]]]) -> None:
-        """A list or a change to it; calls learn where each endpoint is."""
-        if mode == our.WHOLE:  # what it leaves out is gone
+        """Applies a full list or a delta."""
+        if mode == our.WHOLE:  # endpoints that a full list leaves out are gone
             named = {entry.name for entry, _ in listed}
             for name in [each for each in self.entries if each not in named]:
                 self._calls.gone(name)
--- a/birchstack/net/log.py
+++ b/birchstack/net/log.py
@@ -1,7 +1,7 @@
-"""Logging as key=value lines on standard error, and what must hold.
+"""Logging as key=value lines on standard error, and checks of invariants.
 
-Owns the format and the counts of what did not hold. Must never block the loop: lines that nobody reads are
-dropped and counted.
+Owns the log format and the counts of violated invariants. Must never block the event loop: lines that cannot
+be written at once are dropped and counted.
 """
 
 from __future__ import annotations
@@ -12,12 +12,15 @@
 import sys
 from collections import Counter
 
-broken: Counter[str] = Counter()  # what did not hold, in release
+broken: Counter[str] = Counter()  # violated invariants since the start
 
 
 class KeyValue(logging.Formatter):
+    """Formats a record as key=value pairs: the standard ones, then those of the call."""
+
     def format(self, record: logging.LogRecord) -> str:
-        words = {
+        """Returns the line without a newline."""
+        fields = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
             "part": record.name.rpartition(".")[2],
@@ -25,8 +28,8 @@
             **getattr(record, "words", {}),
         }
         if record.exc_info:
-            words["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={self._quoted(value)}" for key, value in words.items())
+            fields["trace"] = self.formatException(record.exc_info)
+        return " ".join(f"{key}={self._quoted(value)}" for key, value in fields.items())
 
     @staticmethod
     def _quoted(value: object) -> str:
@@ -38,16 +41,20 @@
 
 
 class Unblocked(logging.Handler):
-    """Writes lines to a descriptor that is never waited for; it may be shared, so its mode stays as it is."""
+    """Writes lines to a file descriptor without ever waiting for it.
+
+    The descriptor may be shared with other processes, so it is not switched to non-blocking mode."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
-        self._descriptor, self.dropped = descriptor, 0
+        self._descriptor = descriptor
+        self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Writes the line, or counts it as dropped if the descriptor is not writable."""
         line = self.format(record).encode(errors="replace")[: select.PIPE_BUF - 1] + b"\n"
         try:
-            if select.select([], [self._descriptor], [], 0.0)[1]:  # room for a line of this length
+            if select.select([], [self._descriptor], [], 0.0)[1]:  # a pipe has room for PIPE_BUF bytes then
                 os.write(self._descriptor, line)
                 return
         except (OSError, ValueError):
@@ -56,6 +63,7 @@
 
 
 def start(level: int = logging.INFO) -> None:
+    """Configures the root logger to write key=value lines to standard error."""
     handler = Unblocked(sys.stderr.fileno())
     handler.setFormatter(KeyValue())
     logging.basicConfig(level=level, handlers=[handler], force=True)
@@ -63,11 +71,12 @@
 
 
 def say(log: logging.Logger, event: str, level: int = logging.INFO, **words: object) -> None:
+    """Logs an event with fields."""
     log.log(level, event, extra={"words": words})
 
 
 def holds(condition: object, what: str) -> bool:
-    """What must hold: asserted in debug builds, counted and logged (the first few) in release."""
+    """Checks an invariant: asserted in debug builds, else counted and logged (the first three times)."""
     if condition:
         return True
     broken[what] += 1
--- a/birchstack/net/machine.py
+++ b/birchstack/net/machine.py
@@ -1,7 +1,7 @@
-"""The one seam between the sender and the machine it runs on: clocks, files, signals, the listening socket.
+"""Interface to the operating system: clocks, files, signals and listening sockets.
 
-Owns every call to the operating system that is not asyncio's own. Must never decide, remember a document or
-look into bytes. The emulator puts another machine in its place; the code above this file cannot tell.
+Owns every system call that asyncio does not make itself. Must never decide, hold documents or interpret data.
+The emulator substitutes its own implementation, which behaves alike for the code above this module.
 """
 
 from __future__ import annotations
@@ -19,92 +19,101 @@
 import time
 from collections.abc import Callable
 
-ACCEPTED, BACKLOG = 16, 1024  # so many are let in at once; so many wait for that in the kernel
-SHORT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-PAUSE_S = 0.1  # nobody is let in for so long once descriptors ran out
-BOOT = "/proc/sys/kernel/random/boot_id"
-ANCHOR = "clock"  # the file that ties the lasting clock to the wall clock
+ACCEPTED = 16  # connections being accepted at once, by default
+BACKLOG = 1024  # connections that wait in the kernel to be accepted
+EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # no descriptor or memory left
+PAUSE_S = 0.1  # no connection is accepted for this time after descriptors ran out
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
+ANCHOR = "clock"  # file that stores the persistent clock's offset
 
 
 class Folder:
-    """The folder that lasts, by names. Every method raises OSError as the system does."""
+    """The state folder, whose files are addressed by name. Methods raise OSError as the system does."""
 
     def __init__(self, path: str) -> None:
         self._path = path
         self._locks: dict[str, int] = {}
 
     def lock(self, name: str) -> bool:
-        """True if this process holds the lock of that name from now until it ends; False while another does.
-        Where the system has no such locks, every process holds it, as if it were alone."""
+        """Takes a lock that lasts until the process ends; returns False while another process holds it.
+
+        On a file system without locks, every process gets the lock, as if it were alone."""
         if name in self._locks:
             return True
-        handle = os.open(self._at(name), os.O_RDWR | os.O_CREAT, 0o600)
+        handle = os.open(self._path_of(name), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as problem:
             if problem.errno in (errno.EWOULDBLOCK, errno.EAGAIN):
                 os.close(handle)
                 return False
-        self._locks[name] = handle  # the lock ends with the process, however it ends
+        self._locks[name] = handle  # the system releases the lock when the process ends, however it ends
         return True
 
     def unlock(self, name: str) -> None:
-        """Gives a lock back that this process holds, and removes its file: no other may come to need it."""
+        """Releases a lock held by this process and removes its file, which no other process may need."""
         os.close(self._locks.pop(name))
         self.unlink(name)
 
-    def _at(self, name: str) -> str:
+    def _path_of(self, name: str) -> str:
         return os.path.join(self._path, name)
 
     def names(self) -> list[str]:
+        """Returns the names of all files."""
         return os.listdir(self._path)
 
     def read(self, name: str) -> bytes:
-        with open(self._at(name), "rb") as file:
+        """Returns a file's content."""
+        with open(self._path_of(name), "rb") as file:
             return file.read()
 
     def read_at(self, name: str, offset: int, size: int) -> bytes:
-        """A part of a file; fewer bytes where it ends."""
-        handle = os.open(self._at(name), os.O_RDONLY)
+        """Returns a part of a file; fewer bytes if the file ends before."""
+        handle = os.open(self._path_of(name), os.O_RDONLY)
         try:
             return os.pread(handle, size, offset)
         finally:
             os.close(handle)
 
     def size(self, name: str) -> int:
-        return os.stat(self._at(name)).st_size
+        """Returns a file's size in bytes."""
+        return os.stat(self._path_of(name)).st_size
 
     def write(self, name: str, data: bytes) -> None:
-        """A whole file. Part of it may be there after an error."""
-        with open(self._at(name), "wb") as file:
+        """Writes a whole file, which may be left incomplete by an error."""
+        with open(self._path_of(name), "wb") as file:
             file.write(data)
 
     def open(self, name: str, fresh: bool = False) -> int:
-        """For append(); fresh: emptied first."""
+        """Opens a file for append() and returns its handle; fresh: truncates it first."""
         mode = os.O_WRONLY | os.O_CREAT | os.O_APPEND | (os.O_TRUNC if fresh else 0)
-        return os.open(self._at(name), mode, 0o600)
+        return os.open(self._path_of(name), mode, 0o600)
 
     def append(self, handle: int, data: bytes) -> int:
-        """How many bytes were written: fewer where the disk is full."""
+        """Appends data and returns the number of bytes written, fewer than all if the disk is full."""
         return os.write(handle, data)
 
     def close(self, handle: int) -> None:
+        """Closes a handle from open()."""
         os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        os.rename(self._at(old), self._at(new))
+        """Renames a file atomically, replacing any other of the new name."""
+        os.rename(self._path_of(old), self._path_of(new))
 
     def unlink(self, name: str) -> None:
-        os.unlink(self._at(name))
+        """Removes a file."""
+        os.unlink(self._path_of(name))
 
 
 class Listener:
-    """A listening socket and the clients that it lets in.
+    """A listening socket that bounds how many connections are being accepted at once.
 
-    asyncio's own server takes descriptors by the pass, before anyone knows of the clients that they went to,
-    and where none is left it logs each attempt and lets nobody in for a second. Here so many are on their way
-    in at once and no more, the others wait in the kernel; where none is left, short() may close something and
-    accepting rests for PAUSE_S. May hurt: a burst comes in over more passes."""
+    asyncio's own server accepts a whole backlog in one pass, before the protocols of those connections know
+    of them; when descriptors run out it logs each attempt and accepts nothing for a second. Here at most
+    `at_once` connections are being accepted and the others wait in the kernel; when descriptors run out,
+    short() may close something, and accepting pauses for PAUSE_S. Drawback: a burst takes more passes of the
+    event loop."""
 
     def __init__(
         self,
@@ -115,80 +124,85 @@
         short: Callable[[], None],
     ) -> None:
         door.setblocking(False)
-        self._loop, self._door, self._protocol, self._short = loop, door, protocol, short
-        self._at_once = at_once
-        self._coming: set[asyncio.Task] = set()  # let in; their owners do not know of them yet
+        self._loop = loop
+        self._socket = door
+        self._protocol = protocol
+        self._on_exhausted = short
+        self._max_accepting = at_once
+        self._accepting: set[asyncio.Task] = set()  # accepted, but not yet passed to their protocols
         self.sockets: tuple[socket.socket, ...] = (door,)
-        self._begin()
+        self._resume()
 
     def is_serving(self) -> bool:
+        """Returns whether the socket is open, as asyncio.Server does."""
         return bool(self.sockets)
 
     def close(self) -> None:
-        """Listens no more; who was let in stays."""
+        """Stops listening; accepted connections stay open."""
         if self.sockets:
             self.sockets = ()
-            self._loop.remove_reader(self._door)
-            self._door.close()
+            self._loop.remove_reader(self._socket)
+            self._socket.close()
 
-    def _begin(self) -> None:
+    def _resume(self) -> None:
         if self.sockets:
-            self._loop.add_reader(self._door, self._accept)
+            self._loop.add_reader(self._socket, self._accept)
 
     def _accept(self) -> None:
-        while len(self._coming) < self._at_once:
+        while len(self._accepting) < self._max_accepting:
             try:
-                client, _ = self._door.accept()
+                client, _ = self._socket.accept()
             except ConnectionAbortedError:
                 continue
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as problem:
-                if problem.errno not in SHORT:
+                if problem.errno not in EXHAUSTED:
                     raise
-                self._loop.remove_reader(self._door)
-                self._loop.call_later(PAUSE_S, self._begin)
-                self._short()
+                self._loop.remove_reader(self._socket)
+                self._loop.call_later(PAUSE_S, self._resume)
+                self._on_exhausted()
                 return
-            task = self._loop.create_task(self._let_in(client))
-            self._coming.add(task)
-            task.add_done_callback(self._coming.discard)
+            task = self._loop.create_task(self._connect(client))
+            self._accepting.add(task)
+            task.add_done_callback(self._accepting.discard)
 
-    async def _let_in(self, client: socket.socket) -> None:
-        with contextlib.suppress(OSError):  # gone again already
+    async def _connect(self, client: socket.socket) -> None:
+        with contextlib.suppress(OSError):  # the client has already gone
             await self._loop.connect_accepted_socket(self._protocol, client)
 
 
 class Machine:
-    """This machine, by the standard library."""
+    """The operating system, through the standard library."""
 
     def wall_ms(self) -> float:
-        """Unix time; may step at any moment."""
+        """Returns Unix time, which may be stepped at any moment."""
         return time.time() * 1000.0
 
     def steady_ms(self) -> float:
-        """Time since the machine started; never steps, and is one for all processes."""
+        """Returns the time since the machine started: monotonic, and the same for all processes."""
         return time.monotonic() * 1000.0
 
     def boot(self) -> str:
-        """Names this run of the machine; empty where nothing names it."""
+        """Returns an identifier of the machine's current boot; empty if there is none."""
         try:
-            with open(BOOT, encoding="ascii") as file:
+            with open(BOOT_ID_PATH, encoding="ascii") as file:
                 return file.read().strip()
         except OSError:
             return ""
 
     def unique(self) -> str:
-        """A name that nothing else has, on any machine."""
+        """Returns a globally unique name of hexadecimal digits."""
         return os.urandom(8).hex()
 
     def folder(self, path: str) -> Folder:
+        """Returns the state folder at a path."""
         return Folder(path)
 
     def descriptors(self) -> int:
-        """How many files and sockets the system lets the process have open."""
-        most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        return sys.maxsize if most == resource.RLIM_INFINITY else most
+        """Returns the number of file descriptors that the process may have open."""
+        limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        return sys.maxsize if limit == resource.RLIM_INFINITY else limit
 
     async def listen(
         self,
@@ -199,47 +213,53 @@
         at_once: int = ACCEPTED,
         short: Callable[[], None] = lambda: None,
     ) -> Listener:
-        """shared: another process of this sender may listen at the same address (SO_REUSEPORT); at_once: so
-        many are on their way in at most; short() hears that no descriptor was left for the next."""
+        """Listens at an address.
+
+        shared: another process of this sender may listen at the same address (SO_REUSEPORT). at_once: the
+        number of connections being accepted at once. short() is called when no descriptor is left for the
+        next connection."""
         family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
-        door = socket.create_server(where, backlog=BACKLOG, family=family, reuse_port=shared)
-        return Listener(loop, door, protocol, at_once, short)
+        listening = socket.create_server(where, backlog=BACKLOG, family=family, reuse_port=shared)
+        return Listener(loop, listening, protocol, at_once, short)
 
     def knocked(self, server: Listener) -> bool:
-        """True if somebody waits to be let in."""
+        """Returns whether a connection waits to be accepted."""
         return bool(select.select(server.sockets, [], [], 0.0)[0])
 
     def on_signals(
         self, loop: asyncio.AbstractEventLoop, end: Callable[[], None], reload: Callable[[], None]
     ) -> None:
+        """Calls end() on SIGTERM and SIGINT, and reload() on SIGHUP."""
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, end)
         loop.add_signal_handler(signal.SIGHUP, reload)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # one that came before is heard now
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # delivers one that is already pending
 
 
 class LastingClock:
-    """Milliseconds that outlast the process and do not step while the machine stays up.
+    """Clock in milliseconds that continues across restarts and is never stepped while the machine is up.
 
-    The first process writes down which run of the machine it saw, and how far the wall clock was ahead of the
-    steady one. Each later process of the same run goes on with that difference, whatever was done to the wall
-    clock since; otherwise a step back would keep documents past their expiry after a restart, and one forward
-    would end them early. After a start of the machine the wall clock counts again.
+    The first process stores the boot identifier and the offset of the wall clock to the monotonic clock.
+    Later processes of the same boot continue with that offset, whatever happened to the wall clock since;
+    otherwise a step back would keep documents past their expiry after a restart, and a step forward would end
+    them early. After a reboot the offset is taken from the wall clock again.
     """
 
     def __init__(self, machine: Machine, folder: Folder) -> None:
-        self._machine, boot = machine, machine.boot()
-        self.kept = False  # whether times of the process before can be compared with this one's
-        self._ahead_ms = machine.wall_ms() - machine.steady_ms()
+        self._machine = machine
+        boot = machine.boot()
+        self.kept = False  # whether times of the previous process can be compared with this one's
+        self._offset_ms = machine.wall_ms() - machine.steady_ms()
         try:
-            written, ahead = folder.read(ANCHOR).decode("ascii").split()
+            written, offset = folder.read(ANCHOR).decode("ascii").split()
             if boot and written == boot:
-                self._ahead_ms, self.kept = float(ahead), True
+                self._offset_ms, self.kept = float(offset), True
                 return
         except (OSError, ValueError):
-            pass  # the first process here, or the file was cut off: as if the first
+            pass  # the first process in this folder, or the file is damaged
         with contextlib.suppress(OSError):
-            folder.write(ANCHOR, f"{boot or '-'} {self._ahead_ms!r}\n".encode("ascii"))
+            folder.write(ANCHOR, f"{boot or '-'} {self._offset_ms!r}\n".encode("ascii"))
 
     def ms(self) -> float:
-        return self._machine.steady_ms() + self._ahead_ms
+        """Returns the time in milliseconds."""
+        return self._machine.steady_ms() + self._offset_ms
--- a/birchstack/net/notices.py
+++ b/birchstack/net/notices.py
@@ -1,7 +1,7 @@
-"""Notices: tells the platform of documents that ended undelivered, until it has said that it knows.
+"""Notifies the platform of documents that ended undelivered, and repeats each notice until acknowledged.
 
-Owns one connection to the platform and the notices under way. Must never forget a notice before its 204; the
-ledger keeps them meanwhile.
+Owns one connection to the platform and the pending notices. Must never drop a notice before the platform has
+answered it with 204; across restarts the ledger stores them.
 """
 
 from __future__ import annotations
@@ -16,30 +16,35 @@
 from birchstack.net.log import say
 
 PATH = "/v1/notices"
-ANSWER_S, LONGEST_S = 0.1, 2.0  # an answer comes at once: waited for so long, twice as long each time
-AGAIN_S = 0.1  # that none comes in a row; a failed one is sent again after this
-MOST = 64  # in one request
+ANSWER_S = 0.1  # first response time-out; doubled after each time-out in a row
+LONGEST_S = 2.0  # longest response time-out
+AGAIN_S = 0.1  # delay before a failed request is repeated
+MOST = 64  # notices in one request
 log = logging.getLogger(__name__)
 
 
 def line(doc_id: str, result: str, wait_ms: float) -> bytes:
-    words = {"ref": doc_id, "result": result}
+    """Encodes one notice as a line of JSON."""
+    fields = {"ref": doc_id, "result": result}
     if result == "bounced" and wait_ms > 0:
-        words["wait_ms"] = round(wait_ms)
-    return json.dumps(words, separators=(",", ":")).encode() + b"\n"
+        fields["wait_ms"] = round(wait_ms)
+    return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
 class Notices:
-    """known(ids) hears of those that the platform has acknowledged."""
+    """Sends pending notices in batches; known(ids) is called with those that the platform acknowledged."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, where: tuple[str, int], known: Callable) -> None:
-        self._loop, self._where, self._known = loop, where, known
+        self._loop = loop
+        self._address = where
+        self._on_acknowledged = known
         self._waiting: dict[str, bytes] = {}
-        self._under_way: list[str] = []
+        self._in_flight: list[str] = []
         self._link: Link | None = None
         self._dial: Dial | None = None
         self._reader = http1.Responses()
-        self._most, self._answer_s = MOST, ANSWER_S
+        self._batch_size = MOST
+        self._answer_timeout_s = ANSWER_S
         self._answer: http1.Response | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -47,98 +52,112 @@
         return len(self._waiting)
 
     def tell(self, doc_id: str, result: str, wait_ms: float) -> None:
+        """Queues a notice, and sends it unless a request or a retry is pending."""
         self._waiting[doc_id] = line(doc_id, result, wait_ms)
-        if not self._under_way and not self._timer:
+        if not self._in_flight and not self._timer:
             self._send()
 
     def move(self, where: tuple[str, int]) -> None:
-        """Tells another address from now on; what is under way is told again there."""
-        if where != self._where:
-            self._where = where
+        """Changes the platform's address; notices in flight are sent again there."""
+        if where != self._address:
+            self._address = where
             self._failed()
 
     def _send(self) -> None:
+        """Sends the next batch, over a new connection if none is open."""
         self._timer = None
         if not self._waiting:
             return
-        self._under_way = list(self._waiting)[: self._most]
-        self._timer = self._loop.call_later(self._answer_s, self._silent)
+        self._in_flight = list(self._waiting)[: self._batch_size]
+        self._timer = self._loop.call_later(self._answer_timeout_s, self._timed_out)
         if self._link and not self._link.closed:
             self._write()
         else:
-            self._reader, self._answer = http1.Responses(), None
-            self._dial = Dial(self._loop, self._where, self, self._failed)
+            self._reader = http1.Responses()
+            self._answer = None
+            self._dial = Dial(self._loop, self._address, self, self._failed)
 
     def _write(self) -> None:
-        body = b"".join(self._waiting[each] for each in self._under_way)
+        body = b"".join(self._waiting[each] for each in self._in_flight)
         fields = {"Content-Type": "application/json"}
-        self._link.write(http1.request("POST", PATH, "{}:{}".format(*self._where), fields, body))
+        self._link.write(http1.request("POST", PATH, "{}:{}".format(*self._address), fields, body))
 
     def opened(self, link: Link) -> None:
+        """Called when the connection is established."""
         self._link, self._dial = link, None
         self._write()
 
     def received(self, data: memoryview) -> None:
+        """Called with data from the connection."""
         try:
             for event in self._reader.feed(data):
                 if isinstance(event, http1.Response):
                     self._answer = event
-                elif event is http1.END:  # what comes behind it answers nothing that is under way later
-                    if not (self._answer.keep and self._reader.between and self._under_way):
-                        self._hang_up()
-                    if self._under_way:
+                elif event is http1.END:  # data behind the response cannot answer a later request
+                    if not (self._answer.keep and self._reader.between and self._in_flight):
+                        self._disconnect()
+                    if self._in_flight:
                         self._answered(self._answer.status)
                     return
         except http1.Malformed:
             self._failed()
 
     def lost(self) -> None:
+        """Called when the connection is lost."""
         self._link = None
-        if self._under_way:
+        if self._in_flight:
             self._failed()
 
     def _answered(self, status: int) -> None:
-        told, self._under_way = self._under_way, []
+        """Processes the response to the batch in flight."""
+        batch, self._in_flight = self._in_flight, []
         if self._timer:
             self._timer.cancel()
             self._timer = None
         if status == 204:
-            self._answer_s = max(ANSWER_S, self._answer_s / 2.0)
-            for each in told:
+            self._answer_timeout_s = max(ANSWER_S, self._answer_timeout_s / 2.0)
+            for each in batch:
                 self._waiting.pop(each, None)
-            self._most = MOST
-            self._known(told)
+            self._batch_size = MOST
+            self._on_acknowledged(batch)
             self._send()
         else:
-            self._most = 1  # one that cannot be read must not hold up the others
-            for each in told[:1] if len(told) == 1 else []:
+            self._batch_size = 1  # one notice that the platform refuses must not block the others
+            for each in batch[:1] if len(batch) == 1 else []:
                 self._waiting[each] = self._waiting.pop(each)
-            say(log, "notice not taken", logging.ERROR, status=status, count=len(told))
-            self._again()
+            say(log, "notice not taken", logging.ERROR, status=status, count=len(batch))
+            self._retry()
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         if self._dial:
             self._dial.stop()
         if self._link:
             self._link.abort()
         self._dial = self._link = None
 
-    def _silent(self) -> None:
-        """No answer: the connection may have died without a word, and a document's time is nearly up. Asked
-        again at once on a new one. May hurt where the platform is slow: it hears some twice, which does no
-        harm, and is given more time."""
-        say(log, "notice unanswered", logging.WARNING, count=len(self._under_way), waited=self._answer_s)
-        self._answer_s = min(LONGEST_S, self._answer_s * 2.0)
-        self._under_way = []
-        self._hang_up()
+    def _timed_out(self) -> None:
+        """Repeats the batch at once on a new connection.
+
+        The connection may have broken without an error, and a document's time may be nearly up. Drawback: a
+        slow platform receives some notices twice, which is harmless, and gets a longer time-out."""
+        say(
+            log,
+            "notice unanswered",
+            logging.WARNING,
+            count=len(self._in_flight),
+            waited=self._answer_timeout_s,
+        )
+        self._answer_timeout_s = min(LONGEST_S, self._answer_timeout_s * 2.0)
+        self._in_flight = []
+        self._disconnect()
         self._send()
 
     def _failed(self) -> None:
-        self._under_way = []
-        self._hang_up()
-        self._again()
+        self._in_flight = []
+        self._disconnect()
+        self._retry()
 
-    def _again(self) -> None:
+    def _retry(self) -> None:
         if self._timer:
             self._timer.cancel()
         self._timer = self._loop.call_later(AGAIN_S, self._send)
--- a/birchstack/net/operators.py
+++ b/birchstack/net/operators.py
@@ -1,8 +1,8 @@
-"""The operators' door: HTTP/1.1 on a listener of its own, one call a connection, answered at once.
+"""Operators' HTTP/1.1 server on a listener of its own: one request per connection, answered at once.
 
-Owns the operators' listening socket, its connections and the paths of the calls. Must never decide: what an
-operator asks is carried out by the sender through the Calls it was given, and the figures are what the sender
-counts. A call is answered in the pass of the loop in which its last byte came.
+Owns the listening socket, its connections and the paths of the requests. Must never decide: the sender
+carries requests out through the Calls it passes in, and the metrics are what the sender counts. A request is
+answered in the same iteration of the event loop in which its last byte arrived.
 """
 
 from __future__ import annotations
@@ -18,33 +18,35 @@
 from birchstack.net.log import say
 from birchstack.net.machine import Machine
 
-WHOLE_S = 2.0  # a call not whole by then is cut; it holds nobody up meanwhile
-MOST, AT_ONCE = 64, 2  # connections in all; the oldest is cut for a new one; let in at once
-BODY = 4096  # an operator's call brings no more than this
-PREFIX = "balancer"  # of the names of the figures
-TRAIL = ("GET", "/fleet/trail"), ("POST", "/fleet/trail")  # by keepers, where BALANCER_FLEET is set
+WHOLE_S = 2.0  # a request that is incomplete after this time is cut off
+MOST = 64  # connections at once; the oldest is closed for a new one
+AT_ONCE = 2  # connections that are being accepted at once
+BODY = 4096  # bytes in the body of a request at most
+PREFIX = "balancer"  # of the metrics' names
+TRAIL = ("GET", "/fleet/trail"), ("POST", "/fleet/trail")  # requested by keepers, if BALANCER_FLEET is set
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Yes or no, with a line for who asked."""
+    """Whether a request succeeded, with a line of text for the operator."""
 
     yes: bool
     text: str = ""
-    status: int = 0  # another than 200 or 400 where the form says more
-    content: bytes | None = None  # for programs, in place of the line
+    status: int = 0  # HTTP status, if other than 200 (yes) or 400 (no)
+    content: bytes | None = None  # binary body for programs, in place of the text
 
     def bytes(self) -> bytes:
+        """Encodes the HTTP response."""
         status = self.status or (200 if self.yes else 400)
         if self.content is not None:
-            return _answer(status, self.content, "application/octet-stream")
-        return _answer(
+            return _response(status, self.content, "application/octet-stream")
+        return _response(
             status, self.text.encode() + (b"" if self.text.endswith("\n") or not self.text else b"\n")
         )
 
 
-def _answer(status: int, body: bytes, kind: str = "text/plain; charset=utf-8") -> bytes:
+def _response(status: int, body: bytes, kind: str = "text/plain; charset=utf-8") -> bytes:
     head = f"HTTP/1.1 {status} {http1.REASONS.get(status, 'Status')}\r\n"
     fields = f"Content-Type: {kind}\r\nContent-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     return (head + fields).encode("latin-1") + body
@@ -52,18 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a sender counts from its start, in the project's words; by_type: delivered, refused, failed."""
+    """The sender's metrics since its start; by_type: delivered, refused and failed documents of each type."""
 
     by_type: dict[str, tuple[int, int, int]]
-    transmitted: int  # written whole to endpoints
-    held: int  # taken on, and not ended
+    transmitted: int  # transmissions written completely to endpoints
+    held: int  # documents accepted and not finished
     listed: int  # endpoints in the list
-    avoided: int  # of those, out by hand or avoided by the decisions
-    reloads: tuple[int, int]  # configurations taken over, and not taken over
-    more: list[tuple[str, object]] = field(default_factory=list)  # of whoever keeps the record, if anybody
+    avoided: int  # of those, disabled by operators or avoided by the decisions
+    reloads: tuple[int, int]  # configurations applied and rejected
+    more: list[tuple[str, object]] = field(default_factory=list)  # metrics of the audit trail, if one is kept
 
     def text(self) -> str:
-        """In the operators' form: one name=value a line, with their names."""
+        """Formats one name=value per line, with the names that operators know."""
         lines = [
             f"{PREFIX}.responses.{name}.{word}={count}"
             for name, counts in self.by_type.items()
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Calls:
-    """What the sender does for each call; ids are those of the list of endpoints."""
+    """The sender's handler for each request; ids are those of the list of endpoints."""
 
     ready: Callable[[], Answer]
     figures: Callable[[], Figures]
@@ -94,24 +96,27 @@
     enable: Callable[[str], Answer]
     drain: Callable[[], Answer]
     undrain: Callable[[], Answer]
-    trail: Callable[[dict[str, list[str]], bytes], Answer] | None = None  # where a record is kept
+    trail: Callable[[dict[str, list[str]], bytes], Answer] | None = None  # if an audit trail is kept
 
 
 class Caller:
-    """One connection of an operator: one call, its answer, the end."""
+    """One connection: a request, its response, then the end."""
 
     def __init__(self, door: Door) -> None:
-        self._door, self._reader = door, http1.Requests(max_body=BODY)
+        self._server = door
+        self._reader = http1.Requests(max_body=BODY)
         self._head: http1.Request | None = None
         self._body = bytearray()
         self.link: Link | None = None
         self.done = False
 
     def opened(self, link: Link) -> None:
+        """Called when the connection is accepted."""
         self.link = link
-        self._door.joined(self)
+        self._server.joined(self)
 
     def received(self, data: memoryview) -> None:
+        """Called with data from the connection."""
         if self.done:
             return
         try:
@@ -119,59 +124,67 @@
                 if isinstance(event, http1.Request):
                     self._head = event
                 elif event is http1.END:
-                    self._say(self._door.answer(self._head, bytes(self._body)))
+                    self._respond(self._server.answer(self._head, bytes(self._body)))
                     return
                 elif isinstance(event, bytes):
                     self._body += event
         except http1.Malformed as problem:
-            self._say(Answer(False, f"malformed: {problem}", problem.status))
+            self._respond(Answer(False, f"malformed: {problem}", problem.status))
 
-    def _say(self, answer: Answer) -> None:
+    def _respond(self, answer: Answer) -> None:
         self.done = True
         self.link.write(answer.bytes())
-        self.link.finish(lambda: self._door.left(self))  # until then it has its descriptor
+        self.link.finish(lambda: self._server.left(self))  # it holds its descriptor until then
 
     def lost(self) -> None:
+        """Called when the connection is lost."""
         self.done = True
-        self._door.left(self)
+        self._server.left(self)
 
     def cut(self) -> None:
+        """Aborts the connection."""
         self.done = True
-        self._door.left(self)
+        self._server.left(self)
         self.link.abort()
 
 
 class Door:
-    """The operators' listener."""
+    """The operators' server."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, calls: Calls, most: int = MOST) -> None:
-        self._loop, self._calls, self._most = loop, calls, most
-        self._callers: dict[Caller, float] = {}  # by when each must be whole, oldest first
+        self._loop = loop
+        self._calls = calls
+        self._max_connections = most
+        self._connections: dict[Caller, float] = {}  # deadline of each request, oldest first
         self._server: asyncio.Server | None = None
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def open(self, machine: Machine, where: tuple[str, int]) -> None:
+        """Starts listening."""
         self._server = await machine.listen(self._loop, where, lambda: Link(Caller(self)), False, AT_ONCE)
         self._sweep()
 
     def joined(self, caller: Caller) -> None:
-        if len(self._callers) >= self._most:  # a crowd of silent ones must not keep the next call out
-            next(iter(self._callers)).cut()
-        self._callers[caller] = self._loop.time() + WHOLE_S
+        """Registers a connection; if there are too many, closes the oldest, as idle ones must not block."""
+        if len(self._connections) >= self._max_connections:
+            next(iter(self._connections)).cut()
+        self._connections[caller] = self._loop.time() + WHOLE_S
 
     def left(self, caller: Caller) -> None:
-        self._callers.pop(caller, None)
+        """Unregisters a connection."""
+        self._connections.pop(caller, None)
 
     def _sweep(self) -> None:
+        """Closes connections whose request is overdue."""
         now = self._loop.time()
-        for caller in [each for each, due in self._callers.items() if due <= now]:
+        for caller in [each for each, due in self._connections.items() if due <= now]:
             caller.cut()
-        self._sweeping = self._loop.call_later(0.25, self._sweep)
+        self._sweep_timer = self._loop.call_later(0.25, self._sweep)
 
     def answer(self, head: http1.Request, body: bytes = b"") -> Answer:
-        """What a whole call is owed; what is not one of the calls is a no, and changes nothing."""
-        asked = urllib.parse.parse_qs(head.query, keep_blank_values=True)
-        ids = asked.get("id", [])
+        """Carries out a complete request; an unknown one is refused and changes nothing."""
+        query = urllib.parse.parse_qs(head.query, keep_blank_values=True)
+        ids = query.get("id", [])
         calls = self._calls
         figures = lambda: Answer(True, calls.figures().text())  # noqa: E731
         plain = {
@@ -184,7 +197,7 @@
         key = head.method, head.path
         try:
             if key in TRAIL and calls.trail:
-                answer = calls.trail(asked, body)
+                answer = calls.trail(query, body)
             elif key in plain:
                 answer = plain[key]()
             elif key in by_id and len(ids) == 1 and ids[0]:
@@ -193,7 +206,7 @@
                 answer = Answer(False, "id: one endpoint id is wanted")
             else:
                 answer = Answer(False, f"no such call: {head.method} {head.path}", 404)
-        except Exception:  # a fault of the sender's part must still be answered
+        except Exception:  # a fault in the sender's handler must still be answered
             log.exception("an operator's call failed")
             answer = Answer(False, "the call failed", 500)
         if key not in (("GET", "/ready"), ("GET", "/metrics"), *TRAIL):
@@ -208,9 +221,10 @@
         return answer
 
     def close(self) -> None:
+        """Stops listening and aborts all connections."""
         if self._server:
             self._server.close()
-        if self._sweeping:
-            self._sweeping.cancel()
-        for caller in [*self._callers]:
+        if self._sweep_timer:
+            self._sweep_timer.cancel()
+        for caller in [*self._connections]:
             caller.cut()
--- a/birchstack/net/recollection.py
+++ b/birchstack/net/recollection.py
@@ -1,7 +1,7 @@
-"""What the process before this one knew of endpoints, until a list names each of them.
+"""What the previous process knew of endpoints, kept until discovery lists each of them.
 
-Owns which endpoints have not been named yet. Must never decide what follows; times are milliseconds of the
-clock that outlasts the process (machine.LastingClock).
+Owns which endpoints have not been listed yet. Must never decide what follows from their state. Times are
+milliseconds of the clock that continues across restarts (machine.LastingClock).
 """
 
 from __future__ import annotations
@@ -16,8 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Recalled:
-    """recovery: how far the endpoint had come back, if it was away; wait_ms: what is left of a wait that it
-    told, 0 if none."""
+    """Stored state of one endpoint.
+
+    recovery: its recovery state, if it was unavailable; wait_ms: what remains of a wait that it asked for,
+    0 if none."""
 
     endpoint: str
     recovery: our.Recovery | None
@@ -25,23 +27,27 @@
 
 
 class Recollection:
-    """Tells of each endpoint once. Guards against a list that comes only after the start."""
+    """Returns the stored state of each endpoint once, when a list first names it.
+
+    The first list may arrive only after the start, so the state cannot be applied at the start."""
 
     def __init__(self, ledger: Ledger, by_hand: ByHand) -> None:
         self._ledger, self._by_hand = ledger, by_hand
-        self._unnamed = {*ledger.waits, *ledger.recoveries, *by_hand.back}
+        self._unlisted = {*ledger.waits, *ledger.recoveries, *by_hand.back}
 
     def of(self, now: float, listed: Iterable[our.Endpoint]) -> Iterator[Recalled]:
-        if not self._unnamed:  # later lists are not gone through
+        """Yields the stored state of those listed endpoints that no list has named before."""
+        if not self._unlisted:  # spares the pass over every later list
             return
-        for name in [entry.name for entry in listed if entry.name in self._unnamed]:
-            self._unnamed.discard(name)
+        for name in [entry.name for entry in listed if entry.name in self._unlisted]:
+            self._unlisted.discard(name)
             wait_ms = self._ledger.waits.get(name, now) - now
             yield Recalled(name, self._recovery(now, name), max(0.0, wait_ms))
 
     def _recovery(self, now: float, name: str) -> our.Recovery | None:
-        """As the decisions knew it, or since operators put it back by hand, whichever is the colder."""
-        known, back_at = self._ledger.recoveries.of(now, name), self._by_hand.back.get(name)
+        """Returns the stored recovery, or a warm-up since an operator enabled the endpoint: the colder."""
+        known = self._ledger.recoveries.of(now, name)
+        back_at = self._by_hand.back.get(name)
         if back_at is None or back_at > now:
             return known
         if known and (known.stage == our.RecoveryStage.DOWN or known.age_ms <= now - back_at):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -331,7 +331,7 @@
         notices.tell("d1", "dead", 0.0)  # on the connection that says nothing any more
         await until(lambda: known == ["d0", "d1"])
         assert len(posts) == 3 and posts[2][0] - posts[1][0] < 0.25  # of the 300 ms that it has
-        assert notices._answer_s < 0.2  # and a platform that answers again is waited for as before
+        assert notices._answer_timeout_s < 0.2  # and a platform that answers again is waited for as before
 
     noticed(story, lambda writer, times: times == 2 or writer.write(b"HTTP/1.1 204 No\r\n\r\n"))
 
--- a/tests/test_recoveries.py
+++ b/tests/test_recoveries.py
@@ -12,7 +12,7 @@
 from birchstack.net import ledger as ledger_module
 from birchstack.net import recoveries
 from birchstack.net.config import decode
-from birchstack.net.ledger import GROWN, Ledger
+from birchstack.net.ledger import COMPACT_MIN_BYTES, Ledger
 from birchstack.net.machine import ANCHOR, Folder, LastingClock, Machine
 from birchstack.net.recoveries import Recoveries
 from birchstack.net.sender import Node
@@ -184,7 +184,7 @@
     for number in range(3000):
         ledger.remember(0.0, Recovery(f"endpoint-of-a-long-name-{number}", DOWN, 0.0, 40, 9000.0))
     ledger.compact()
-    assert len(disk.files["ledger"]) > GROWN
+    assert len(disk.files["ledger"]) > COMPACT_MIN_BYTES
     writes = disk.writes
     for number in range(100):
         ledger.done(ledger.take(f"d{number}", "sync", 1, None, 9000.0, b""))
--- a/tests/test_watch_bound.py
+++ b/tests/test_watch_bound.py
@@ -266,7 +266,7 @@
 async def refused_dial():
     port, heard = free_port(), []
     watch, again = watching(("127.0.0.1", port), heard), asyncio.Event()
-    watch._again, before = lambda: (before(), again.set()), watch._again
+    watch._retry, before = lambda: (before(), again.set()), watch._retry
     await again.wait()
     server, reached = await Platform(None).open(host="127.0.0.1", port=port), watch._loop.time()
     took = await acted(heard) - reached
