--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -61,7 +61,7 @@
     async def listen(self, loop, where, protocol, *how) -> NoDoor:
         return NoDoor()
 
-    def knocked(self, server: NoDoor) -> bool:
+    def has_pending(self, server: NoDoor) -> bool:
         return False
 
     def on_signals(self, loop, end, reload) -> None:
--- a/benchmarks/capacity/list_size.py
+++ b/benchmarks/capacity/list_size.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity.hollow import Hosts
 from benchmarks.capacity.listing import ListService
 from benchmarks.capacity.lists import Spent
-from birchstack.net.discovery import MOST_LIST
+from birchstack.net.discovery import MAX_LIST_BYTES
 
 NAME = "list-size"
 CHANGES, SPACE_S, REFUSED_S = 50, 0.02, 4.0
@@ -55,7 +55,7 @@
     got = {"whole list": size, "a listed endpoint": size / listed}
     try:
         async with Hosts(service.at, 1, 550, fleet) as hosts:
-            if size > MOST_LIST:
+            if size > MAX_LIST_BYTES:
                 return {**got, **(await _refused(service, hosts) if not fleet else {})}
             spent, before = Spent(service, hosts), (await hosts.report(True))["bytes"]
             await spent.begin()
--- a/benchmarks/capacity/listed.py
+++ b/benchmarks/capacity/listed.py
@@ -1,8 +1,8 @@
 """What a sender that has nothing to do costs, by the destinations listed, with one and three endpoints each.
 
-One real sender for each point. A line of the list may have 4 MiB (MOST_LIST): a longer list is told in parts,
-as a whole list and changes to it, which is kinder than what becomes of one that is told whole; `notes` says
-which list told in one line was refused.
+One real sender for each point. A line of the list may have 4 MiB (MAX_LIST_BYTES): a longer list is told in
+parts, as a whole list and changes to it, which is kinder than what becomes of one that is told whole; `notes`
+says which list told in one line was refused.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import asyncio
 
 from benchmarks.capacity import stand
-from birchstack.net.discovery import MOST_LIST
+from birchstack.net.discovery import MAX_LIST_BYTES
 
 NAME = "listed"
 POINTS = (1_000, 4_000, 12_000, 36_000)
@@ -74,9 +74,9 @@
 
     entry = len(stand.text(1, True, stand.whole_list(1000, 1, ["127.0.7.1:23000"]))) / 1000.0
     return {
-        "most bytes of a line": MOST_LIST,
+        "most bytes of a line": MAX_LIST_BYTES,
         "bytes an endpoint": entry,
-        "most endpoints": MOST_LIST // entry,
+        "most endpoints": MAX_LIST_BYTES // entry,
         "taken in one line": asyncio.run(tried()),
     }
 
--- a/benchmarks/capacity/recoveries.py
+++ b/benchmarks/capacity/recoveries.py
@@ -14,10 +14,10 @@
 from benchmarks.capacity.listing import entry
 from birchstack import interface as our
 from birchstack.decide import Sender
-from birchstack.net.by_hand import ByHand
+from birchstack.net.by_hand import AdministrativeStates
 from birchstack.net.ledger import FILE, Ledger
 from birchstack.net.machine import Folder
-from birchstack.net.recollection import Recollection
+from birchstack.net.recollection import StoredEndpointStates
 
 NAME = "recoveries"
 LISTED = 36_000
@@ -54,7 +54,9 @@
     began = time.process_time()
     ledger = Ledger(folder, ROOM)
     read_s = time.process_time() - began
-    for recalled in Recollection(ledger, ByHand(folder, lambda: 0.0)).of(60_000.0, listed):
+    for recalled in StoredEndpointStates(ledger, AdministrativeStates(folder, lambda: 0.0)).pop_listed(
+        60_000.0, listed
+    ):
         sender.recover(0.0, recalled.recovery)
     ledger.close()
     return read_s
@@ -67,7 +69,7 @@
     with tempfile.TemporaryDirectory() as path:
         folder = Folder(path)
         ledger = Ledger(folder, ROOM)
-        change_s = _spent(lambda: [ledger.remember(1.0e12, each) for each in changed]) / down
+        change_s = _spent(lambda: [ledger.record_recovery(1.0e12, each) for each in changed]) / down
         disk = folder.size(FILE)
         ledger.compact()
         anew = folder.size(FILE)
--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -218,7 +218,7 @@
     def steady_ms(self) -> float:
         return 5e6
 
-    def boot(self) -> str:
+    def boot_id(self) -> str:
         return "boot"
 
     def folder(self, path: str) -> MemoryFolder:
@@ -257,7 +257,7 @@
             "settings": stand.settings(),
         }
         self.node = Node(decode(raw, {}), self.loop, InMemory())
-        self.node._list.entries, self.node._ledger.owed = work.dictionary(), work.dictionary()
+        self.node._list.entries, self.node._ledger.entries = work.dictionary(), work.dictionary()
         self.node._list._destinations, self.node._answers = work.dictionary(), work.dictionary()
         self.spare = listed
         self.node._listed(our.WHOLE, [(endpoint(each), ("127.0.0.1", 3)) for each in range(1, listed + 1)])
@@ -269,7 +269,7 @@
             if at % TOGETHER == 0:
                 self.node._turn()
         self.node._turn()
-        assert len(self.node._ledger.owed) == owed
+        assert len(self.node._ledger.entries) == owed
 
     def hand(self, doc_id: str, destination: int) -> Handed:
         handed = Handed(doc_id, destination)
@@ -278,7 +278,7 @@
 
     def taken(self, many: int = 1) -> Callable[[], None]:
         for at in range(many):
-            self.hand(f"new{len(self.node._ledger.owed)}-{at}", 1)
+            self.hand(f"new{len(self.node._ledger.entries)}-{at}", 1)
         return self.node._turn
 
     def changed(self) -> Callable[[], None]:
@@ -296,8 +296,8 @@
 
     def end(self) -> Callable[[], None]:
         """A document that a restart found gets its end, and nothing tried it."""
-        owed = next(each for each in self.node._ledger.owed.values() if each.notice is None)
-        owed.found = True
+        owed = next(each for each in self.node._ledger.entries.values() if each.notice is None)
+        owed.recovered = True
         return lambda: self.node._owe_notice(owed.id, "dead", 0.0)
 
 
@@ -306,7 +306,7 @@
     node = Whole().node
     node._notices._waiting = work.dictionary()
     for at in range(waiting):
-        node._notices.tell(f"d{at}", "dead", 0.0)
+        node._notices.queue(f"d{at}", "dead", 0.0)
     return lambda: node._notices._answered(204)
 
 
--- a/benchmarks/ledger_options.py
+++ b/benchmarks/ledger_options.py
@@ -32,16 +32,16 @@
         self._ledger = Ledger(Folder(folder), 10**12)
 
     def take(self, doc_id):
-        self._ledger.take(doc_id, "sync", 7, None, 1e12, BODY)
+        self._ledger.add(doc_id, "sync", 7, None, 1e12, BODY)
 
     def call(self, doc_id):
-        self._ledger.call(self._ledger.owed[doc_id], "a", 1e12)
+        self._ledger.record_transmission(self._ledger.entries[doc_id], "a", 1e12)
 
     def done(self, doc_id):
-        self._ledger.done(self._ledger.owed[doc_id])
+        self._ledger.finish(self._ledger.entries[doc_id])
 
     def __len__(self):
-        return len(self._ledger.owed)
+        return len(self._ledger.entries)
 
 
 class Segmented:
--- a/benchmarks/restart_ready.py
+++ b/benchmarks/restart_ready.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 
 from birchstack.net.ledger import Ledger
-from birchstack.net.machine import Folder, LastingClock, Machine
+from birchstack.net.machine import Folder, Machine, PersistentClock
 
 WITHIN_S, MOST_IN_TEN_S = 30.0, 10.0  # all, and nine in ten
 SMALL, LARGE, LEFT_MS = 300, 60_000, 120_000.0
@@ -38,21 +38,21 @@
     """A folder as a kill leaves it, with so many calls more noted for each document: the longest file that
     is not written anew holds about five. Returns how many documents fit."""
     folder = Folder(path)
-    until = LastingClock(Machine(), folder).ms() + LEFT_MS
+    until = PersistentClock(Machine(), folder).ms() + LEFT_MS
     ledger, count = Ledger(folder, int(disk_mb * 1_000_000)), 0
     for number in range(documents + large):
         size = LARGE if number < large else SMALL
-        if not ledger.fits([size]):
+        if not ledger.has_space([size]):
             break
         kind = TYPES[number % 3][0]
-        owed = ledger.take(f"{number:032x}", kind, number % DESTINATIONS, None, until, b"x" * size)
+        owed = ledger.add(f"{number:032x}", kind, number % DESTINATIONS, None, until, b"x" * size)
         for _ in range(sent):
-            ledger.call(owed, "a", until - LEFT_MS)
-            ledger.back(owed, False, False)
+            ledger.record_transmission(owed, "a", until - LEFT_MS)
+            ledger.record_outcome(owed, False, False)
         if number % 4 == 0:
-            ledger.call(owed, "a", until - LEFT_MS)
+            ledger.record_transmission(owed, "a", until - LEFT_MS)
             if number % 16:
-                ledger.back(owed, False, False)
+                ledger.record_outcome(owed, False, False)
         count += 1
     ledger.close()
     return count
@@ -299,9 +299,9 @@
     imported = time.process_time()
     ledger.Ledger._load_body = clock("bodies read", ledger.Ledger._load_body)
     ledger.Ledger._remove_stray_files = clock("other files looked for", ledger.Ledger._remove_stray_files)
-    ledger.Replayed.__init__ = clock("lines replayed", ledger.Replayed.__init__)
+    ledger.LedgerReplay.__init__ = clock("lines replayed", ledger.LedgerReplay.__init__)
     ledger.Ledger.__init__ = clock("ledger in all", ledger.Ledger.__init__)
-    discovery.Watch.first = clock("first list", discovery.Watch.first, waits=True)
+    discovery.Watch.wait_for_first = clock("first list", discovery.Watch.wait_for_first, waits=True)
     sender.Node._take_up = clock("take up", sender.Node._take_up)
     sender.Node._turn = clock("first turns", sender.Node._turn)
     front.Front.open = clock("door", front.Front.open, waits=True)
--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -40,7 +40,7 @@
         from birchstack.backlog import maker, settings
     except ModuleNotFoundError as problem:
         raise ConfigError(f"BALANCER_BACKLOG: {problem.name} is missing (the extra `backlog`)") from problem
-    sockets = min(config.sockets, Machine().descriptors()) - maker.DESCRIPTORS
+    sockets = min(config.sockets, Machine().max_descriptors()) - maker.DESCRIPTORS
     if sockets < 64:
         raise ConfigError(f"limits.sockets: the backlog needs {maker.DESCRIPTORS}, which leaves {sockets}")
     return dataclasses.replace(config, sockets=sockets), maker.maker(settings.load(path))
@@ -56,7 +56,7 @@
 
 def main() -> int:
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])  # until it has its handler
-    log.start()
+    log.configure()
     try:
         config, audit = _audit_log(load())
         config, store = _store(config)
--- a/birchstack/backlog/manifest.py
+++ b/birchstack/backlog/manifest.py
@@ -13,7 +13,7 @@
 from birchstack.backlog.plan import BALLAST, MANIFEST, parse
 from birchstack.backlog.runs import whole
 from birchstack.ledger.records import HEAD, Record, Scanner, Whole, frame, head
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
 READ = 65536
@@ -57,7 +57,7 @@
         self.torn = bool(scanner.damages)  # a snapshot soon, so that nothing follows a torn record
         for damage in scanner.damages:
             if damage.rot:
-                say(
+                log_event(
                     log,
                     "rot in the manifest",
                     logging.ERROR,
@@ -66,7 +66,7 @@
                     end=damage.end,
                 )
         if not any(isinstance(each, Whole) for each in found):
-            say(log, "no snapshot is whole", logging.ERROR, file=self.name)
+            log_event(log, "no snapshot is whole", logging.ERROR, file=self.name)
         with contextlib.suppress(OSError):
             self._file = self._folder.open(self.name)
         return found
@@ -82,7 +82,7 @@
         except OSError as problem:
             if must:
                 raise
-            say(log, "not noted yet", logging.ERROR, problem=problem)
+            log_event(log, "not noted yet", logging.ERROR, problem=problem)
             self._late.append(data)
             self.late += len(data)
             return False
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -58,7 +58,7 @@
     head,
     unframe,
 )
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
 READ, FIRST = 65536, 16384  # a piece of a segment; the first one
@@ -152,7 +152,9 @@
             try:
                 self._index.found(run, self._mark)
             except (Rot, OSError) as problem:
-                say(log, "an index is lost; it is made anew", logging.ERROR, file=run.name, problem=problem)
+                log_event(
+                    log, "an index is lost; it is made anew", logging.ERROR, file=run.name, problem=problem
+                )
                 self._rotten[run.number] = run
         with contextlib.suppress(OSError):  # tried again by step()
             if not records:
@@ -161,7 +163,7 @@
             self._found(destination, past.there.get(destination) or There(), sorted(numbers))
         self._manifest.reserve()
         if self._there:
-            say(log, "backlog recovered", owed=self._count, destinations=len(self._there))
+            log_event(log, "backlog recovered", owed=self._count, destinations=len(self._there))
 
     def _found(self, destination: int, there: There, numbers: list[int]) -> None:
         """One destination's segments; those of its tail are read."""
@@ -391,7 +393,7 @@
     def _damage(self, name: str, number: int, start: int, end: int) -> None:
         if (number, start) not in self._damaged and len(self._damaged) < 4096:
             self._damaged.add((number, start))
-            say(log, "rot in the backlog", logging.ERROR, file=name, start=start, end=end)
+            log_event(log, "rot in the backlog", logging.ERROR, file=name, start=start, end=end)
 
     def moved(self, destination: int, count: int) -> None:
         there = self._there.get(destination)
@@ -447,7 +449,7 @@
     def _gone(self, destination: int, there: There, count: int) -> None:
         """Their records cannot be read any more."""
         self.lost, there.rotten = self.lost + count, True
-        say(
+        log_event(
             log,
             "documents lost",
             logging.ERROR,
@@ -521,7 +523,9 @@
 
     def _lose(self, entry: bytes, destination: int, where: int) -> None:
         """Its record does not check: nothing can be said for it any more."""
-        say(log, "document lost", logging.ERROR, file=segment(destination, where >> 32), start=where & OFFSET)
+        log_event(
+            log, "document lost", logging.ERROR, file=segment(destination, where >> 32), start=where & OFFSET
+        )
         there = self._there[destination]
         there.rotten, there.lost, self.lost = True, there.lost + 1, self.lost + 1
         self._end([entry])
@@ -605,7 +609,7 @@
             more, self._ill = self._step(), False
         except OSError as problem:
             if not self._ill:
-                say(log, "housekeeping put off", logging.ERROR, problem=problem)
+                log_event(log, "housekeeping put off", logging.ERROR, problem=problem)
             more, self._ill = False, True
         return more
 
@@ -700,7 +704,7 @@
 
     def _rot(self, problem: Rot) -> None:
         if problem.run.number not in self._rotten:
-            say(log, "rot in an index; it is made anew", logging.ERROR, at=problem)
+            log_event(log, "rot in an index; it is made anew", logging.ERROR, at=problem)
             self._rotten[problem.run.number] = problem.run
 
     def _reindex(self) -> Generator[None, None, None]:
--- a/birchstack/emulator/rig/virtual.py
+++ b/birchstack/emulator/rig/virtual.py
@@ -25,7 +25,7 @@
 from birchstack.keeper.questions import Reader
 from birchstack.keeper.store import Store
 from birchstack.net.config import decode
-from birchstack.net.machine import LastingClock, Machine
+from birchstack.net.machine import Machine, PersistentClock
 from birchstack.net.sender import Node
 
 DELAY_MS = 2.0
@@ -44,10 +44,10 @@
     def steady_ms(self) -> float:
         return 5_000_000.0 + self._rig.clock.now_ms()
 
-    def boot(self) -> str:
+    def boot_id(self) -> str:
         return "one-boot"
 
-    def unique(self) -> str:
+    def unique_name(self) -> str:
         return f"{self._rig.chance.getrandbits(64):016x}"
 
     def folder(self, path: str) -> MemoryFolder:
@@ -56,7 +56,7 @@
     async def listen(self, loop: ProcessLoop, where, protocol, *how):
         return await loop.create_server(protocol, *where)
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         return 1 << 20
 
     def on_signals(self, loop: ProcessLoop, end, reload) -> None:
@@ -172,7 +172,7 @@
             self.loop,
             self.store,
             machine,
-            LastingClock(machine, self.folder),
+            PersistentClock(machine, self.folder),
             random.Random(rig.chance.getrandbits(32)),
         )
         collector.start()
--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -64,10 +64,10 @@
     def steady_ms(self) -> float:
         return 5_000_000.0 + self._day.clock.now_ms()
 
-    def boot(self) -> str:
+    def boot_id(self) -> str:
         return f"machine-{self._number}"
 
-    def unique(self) -> str:
+    def unique_name(self) -> str:
         self._day.names += 1
         return f"{self._day.seed & 0xFFFFFFFF:08x}{self._day.names:08x}"
 
@@ -77,7 +77,7 @@
     async def listen(self, loop: ProcessLoop, where: tuple[str, int], protocol, *how):
         return await loop.create_server(protocol, *where)
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         return 1 << 20
 
     def on_signals(self, loop: ProcessLoop, end, reload) -> None:
@@ -223,11 +223,13 @@
         loop = asyncio._get_running_loop()
         number = int(loop.name) if isinstance(loop, ProcessLoop) else -1
         if text in FAULTS:
-            problem = record.exc_info[1] if record.exc_info else getattr(record, "words", {}).get("what")
+            problem = record.exc_info[1] if record.exc_info else getattr(record, "fields", {}).get("what")
             self._day.judge.fault(self._day.clock.now_ms(), number, f"{text}: {problem!r}")
         else:
             self._day.judge.note(
-                self._day.clock.now_ms(), None, f"sender {number} logs: {text} {getattr(record, 'words', {})}"
+                self._day.clock.now_ms(),
+                None,
+                f"sender {number} logs: {text} {getattr(record, 'fields', {})}",
             )
 
 
@@ -265,7 +267,7 @@
         logger.addHandler(handler)
         logger.setLevel(logging.ERROR)
         logger.propagate = False
-        sender_log.broken.clear()
+        sender_log.violations.clear()
         try:
             self.world.begin()
             for process in self.processes:
--- a/birchstack/fleet/audit_files.py
+++ b/birchstack/fleet/audit_files.py
@@ -30,7 +30,7 @@
     time_of,
 )
 from birchstack.fleet.trail import Trail
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
 PREFIX, FOLDED, SOUND = "trail-", "-folded", "trail-sound"
@@ -66,7 +66,7 @@
             self._mark_sound()
             return Trail(unique(), self._limit)
         if len(owners) > 1:
-            say(
+            log_event(
                 log, "several trails in one folder", logging.ERROR, names=",".join(owners), goes_on=owners[-1]
             )
         trail = Trail(owners[-1], self._limit)
@@ -99,14 +99,14 @@
                 if not isinstance(each, Damage) and isinstance(record := each.record(), Folded):
                     trail.take_folded(record)
                     return
-        say(log, "the trail's totals cannot be read", logging.ERROR, file=name)
+        log_event(log, "the trail's totals cannot be read", logging.ERROR, file=name)
 
     def _take(self, trail: Trail, name: str) -> None:
         """A segment's good frames. Rot is cut out, told once, and leaves a jump of numbers."""
         try:
             data = self._folder.read(name)
         except OSError as problem:
-            say(log, "a segment of the trail cannot be read", logging.ERROR, file=name, problem=problem)
+            log_event(log, "a segment of the trail cannot be read", logging.ERROR, file=name, problem=problem)
             return
         first = int(name.rpartition("-")[2])
         if trail.folded and first <= trail.folded.last:  # folded, and a process ended before it went
@@ -137,9 +137,9 @@
                 )
                 rotten = True
         if torn:
-            say(log, "the trail's last record was not whole", file=name)
+            log_event(log, "the trail's last record was not whole", file=name)
         if rotten:
-            say(log, "rot in the trail", logging.ERROR, file=name)
+            log_event(log, "rot in the trail", logging.ERROR, file=name)
         if rotten or torn:
             with contextlib.suppress(OSError):
                 self._folder.write(name + ".new", bytes(trail.segments[-1].data))
@@ -173,7 +173,7 @@
             if self._folder.append(self._handle, data) < len(data):
                 raise OSError("no room")
         except OSError as problem:
-            say(log, "a record of the trail was not kept", logging.ERROR, problem=problem)
+            log_event(log, "a record of the trail was not kept", logging.ERROR, problem=problem)
             self._close()  # what was half written lies at a file's end, where it counts as torn
             return False
         trail.put(record, data, chain)
@@ -186,7 +186,7 @@
         try:
             self._handle = self._folder.open(f"{PREFIX}{trail.name}-{trail.last + 1:012d}", fresh=True)
         except OSError as problem:
-            say(log, "no file for the trail", logging.ERROR, problem=problem)
+            log_event(log, "no file for the trail", logging.ERROR, problem=problem)
             return False
         if not trail.segments or trail.segments[-1].numbers:
             trail.begin()
@@ -203,7 +203,7 @@
             self._folder.write(name + ".new", frame_of_folded(folded))
             self._folder.rename(name + ".new", name)
         except OSError as problem:  # over the bound for now; tried again with the next segment
-            say(log, "the trail was not folded", logging.ERROR, problem=problem)
+            log_event(log, "the trail was not folded", logging.ERROR, problem=problem)
             return False
         if trail.folded:
             self._unlink(f"{PREFIX}{trail.name}-{trail.folded.last:012d}{FOLDED}")
--- a/birchstack/fleet/audit_log.py
+++ b/birchstack/fleet/audit_log.py
@@ -39,7 +39,7 @@
 from birchstack.interface import SignalKind
 from birchstack.net.audit import MakeAuditLog, Reported, SenderStatus
 from birchstack.net.config import Config
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder, Machine
 from birchstack.net.operators import Answer
 
@@ -72,7 +72,7 @@
     ) -> None:
         self._told, self._config, self._machine = told, config, machine
         self._folder, self._status = folder, status
-        self._process, self._boot = machine.unique(), machine.boot()
+        self._process, self._boot = machine.unique_name(), machine.boot_id()
         self._files: AuditFiles | None = None  # none while another process holds the folder
         self._versions: dict[str, Version] = {}
         self._contents = Contents()
@@ -87,7 +87,7 @@
 
     def begins(self, holds: bool) -> None:
         if holds:
-            self._files = AuditFiles(self._folder, self._told.trail.bytes, self._machine.unique)
+            self._files = AuditFiles(self._folder, self._told.trail.bytes, self._machine.unique_name)
             now, wall = self._machine.steady_ms(), self._machine.wall_ms()
             self._files.write(Life(self._process, self._config.name, self._boot, wall, now), now)
             for adopted in self._waiting.values():  # acted on from now on
@@ -130,7 +130,7 @@
         held = self._versions.get(LIST)
         verdict = judge_list(version, held, self._told.list.back)
         if verdict.loud:
-            say(
+            log_event(
                 log,
                 "the list told does not follow the one held",
                 logging.WARNING,
@@ -146,7 +146,7 @@
         self._adopt(version, verdict.order, source, verdict.take)
         if verdict.take:
             self._contents, self._list_ms = contents, self._machine.steady_ms()
-            say(
+            log_event(
                 log,
                 "list adopted",
                 version=version,
--- a/birchstack/keeper/__main__.py
+++ b/birchstack/keeper/__main__.py
@@ -16,7 +16,7 @@
     try:
         told = load(path)
         signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
-        log.start()
+        log.configure()
         asyncio.run(serve(told, Machine(), str(Path(told.store).absolute().parent)))
     except (KeeperError, StoreError) as problem:
         print(f"birchstack: keeper: {problem}", file=sys.stderr)
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -23,8 +23,8 @@
 from birchstack.keeper.store import Store
 from birchstack.net.discovery import Watch
 from birchstack.net.driver import address
-from birchstack.net.log import say
-from birchstack.net.machine import LastingClock, Machine
+from birchstack.net.log import log_event
+from birchstack.net.machine import Machine, PersistentClock
 
 COMMIT_S = 0.1  # what came in this time is committed together
 FULL_S = 5.0  # after a commit that failed, nothing is asked for so long
@@ -42,7 +42,7 @@
         loop: asyncio.AbstractEventLoop,
         store: Store,
         machine: Machine,
-        clock: LastingClock,
+        clock: PersistentClock,
         chance: random.Random,
     ) -> None:
         self._told, self._loop, self._store, self._machine = told, loop, store, machine
@@ -72,7 +72,7 @@
                 self._loop, address(self._told.lists.at), (), lambda mode, listed: None, self._listed
             )
             self._watch.start({})
-        say(log, "keeping", name=self._told.name, doors=len(self._doors), store=self._told.store)
+        log_event(log, "keeping", name=self._told.name, doors=len(self._doors), store=self._told.store)
         self._loop.call_later(REPORT_S, self._report)
         self._loop.call_later(JUDGE_S, self._judge)
         self._go()
@@ -88,11 +88,11 @@
             if timer:
                 timer.cancel()
         self._commit()
-        say(log, "ended", **self._counts, **self._relay.counts)
+        log_event(log, "ended", **self._counts, **self._relay.counts)
         self.ended.set_result(None)
 
     def _report(self) -> None:
-        say(log, "state", out=len(self._out), **self._counts, **self._relay.counts)
+        log_event(log, "state", out=len(self._out), **self._counts, **self._relay.counts)
         self._loop.call_later(REPORT_S, self._report)
 
     # Asking
@@ -126,7 +126,7 @@
             )
         if piece is None:
             self._counts["failed"] += 1
-            log.debug("no answer", extra={"words": {"at": at, "problem": problem}})
+            log.debug("no answer", extra={"fields": {"at": at, "problem": problem}})
             self._rounds.failed(at, now)
         else:
             self._counts["answered"] += 1
@@ -159,7 +159,7 @@
         self._counts["commits_failed"] += 1
         self._full_until = self._loop.time() + FULL_S
         if self._counts["commits_failed"] in (1, 10, 100) or self._counts["commits_failed"] % 1000 == 0:
-            say(
+            log_event(
                 log,
                 "the store cannot be written",
                 logging.ERROR,
@@ -189,7 +189,7 @@
         for sender, (what, evidence, since) in told.items():
             if self._verdicts.get(sender, lag.WELL) != what:
                 self._store.judged(sender, what, evidence, since, now)
-                say(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
+                log_event(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
                 self._soon()
             self._verdicts[sender] = what
 
@@ -239,8 +239,8 @@
         loop,
         store,
         machine,
-        LastingClock(machine, machine.folder(folder)),
-        random.Random(machine.unique()),
+        PersistentClock(machine, machine.folder(folder)),
+        random.Random(machine.unique_name()),
     )
     collector.start()
     try:
--- a/birchstack/keeper/relay.py
+++ b/birchstack/keeper/relay.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from birchstack.fleet import wire
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.signals import model
 from birchstack.signals.board import START, Board
 from birchstack.signals.echo import MOST_DELAY_MS
@@ -68,7 +68,7 @@
         except model.SignalError as problem:
             self.counts["signals_refused"] += 1
             if self.counts["signals_refused"] == 1:
-                say(log, "signals not readable", logging.WARNING, sender=sender, problem=problem)
+                log_event(log, "signals not readable", logging.WARNING, sender=sender, problem=problem)
             return
         if batch.heard:
             reader.told = reader.asked
--- a/birchstack/net/by_hand.py
+++ b/birchstack/net/by_hand.py
@@ -11,65 +11,67 @@
 from collections.abc import Callable
 
 from birchstack import interface as our
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 from birchstack.net.operators import Answer
 
 FILE = "out-by-hand"  # always replaced as a whole
-MOST = 4096  # endpoints disabled at once, and times of re-enabling kept
+MAX_DISABLED = 4096  # endpoints disabled at once, and times of re-enabling kept
 log = logging.getLogger(__name__)
 
 
-class ByHand:
-    """out: the disabled endpoints; back: those enabled again, and when by the persistent clock."""
+class AdministrativeStates:
+    """disabled: the disabled endpoints; enabled_at: those enabled again, and when by the persistent clock."""
 
     def __init__(self, folder: Folder, clock: Callable[[], float]) -> None:
         self._folder, self._clock = folder, clock
-        self.out: dict[str, None] = {}
-        self.back: dict[str, float] = {}
-        self.read()
+        self.disabled: dict[str, None] = {}
+        self.enabled_at: dict[str, float] = {}
+        self.load()
 
-    def read(self) -> None:
+    def load(self) -> None:
         """Loads the file, which another process may have changed since it was last read."""
-        self.out, self.back = {}, {}
+        self.disabled, self.enabled_at = {}, {}
         try:
             stored = json.loads(self._folder.read(FILE))
-            self.out, self.back = (
-                {str(name): None for name in stored["out"][-MOST:]},
-                {str(name): float(when) for name, when in [*stored["back"].items()][-MOST:]},
+            self.disabled, self.enabled_at = (
+                {str(name): None for name in stored["out"][-MAX_DISABLED:]},
+                {str(name): float(when) for name, when in [*stored["back"].items()][-MAX_DISABLED:]},
             )
         except FileNotFoundError:
             pass
         except (OSError, ValueError, TypeError, KeyError, AttributeError) as problem:  # the disk is damaged
-            say(log, "endpoints out by hand not read", logging.ERROR, problem=problem)
+            log_event(log, "endpoints out by hand not read", logging.ERROR, problem=problem)
 
-    def as_told(self, entry: our.Endpoint) -> our.Endpoint:
+    def effective(self, entry: our.Endpoint) -> our.Endpoint:
         """Returns the entry with its effective state: a disabled endpoint that is listed as ready drains."""
-        if entry.name in self.out and entry.state == our.READY:
+        if entry.name in self.disabled and entry.state == our.READY:
             return dataclasses.replace(entry, state=our.DRAINING)
         return entry
 
-    def set(self, endpoint: str, out: bool, listed: bool) -> Answer:
+    def set_disabled(self, endpoint: str, disable: bool, listed: bool) -> Answer:
         """Disables or enables an endpoint; the change is on disk before it takes effect."""
-        if not listed and endpoint not in self.out:
+        if not listed and endpoint not in self.disabled:
             return Answer(False, f"id: {endpoint!r} is not listed", 404)
-        if out == (endpoint in self.out):
-            return Answer(True, f"{endpoint} {'out' if out else 'in'} already")
-        if out and len(self.out) >= MOST:
-            return Answer(False, f"{MOST} endpoints are out by hand already", 409)
+        if disable == (endpoint in self.disabled):
+            return Answer(True, f"{endpoint} {'out' if disable else 'in'} already")
+        if disable and len(self.disabled) >= MAX_DISABLED:
+            return Answer(False, f"{MAX_DISABLED} endpoints are out by hand already", 409)
         wanted = (
-            {**self.out, endpoint: None} if out else {name: None for name in self.out if name != endpoint}
+            {**self.disabled, endpoint: None}
+            if disable
+            else {name: None for name in self.disabled if name != endpoint}
         )
-        back = {name: when for name, when in self.back.items() if name != endpoint}
-        if not out:
-            back[endpoint] = self._clock()
-        while len(back) > MOST:
-            del back[next(iter(back))]
+        enabled_at = {name: when for name, when in self.enabled_at.items() if name != endpoint}
+        if not disable:
+            enabled_at[endpoint] = self._clock()
+        while len(enabled_at) > MAX_DISABLED:
+            del enabled_at[next(iter(enabled_at))]
         try:
-            self._folder.write(FILE + ".new", json.dumps({"out": [*wanted], "back": back}).encode())
+            self._folder.write(FILE + ".new", json.dumps({"out": [*wanted], "back": enabled_at}).encode())
             self._folder.rename(FILE + ".new", FILE)
         except OSError as problem:
-            say(log, "endpoints out by hand not written", logging.ERROR, problem=problem)
+            log_event(log, "endpoints out by hand not written", logging.ERROR, problem=problem)
             return Answer(False, "the folder cannot be written", 503)
-        self.out, self.back = wanted, back
-        return Answer(True, f"{endpoint} {'out' if out else 'in'}")
+        self.disabled, self.enabled_at = wanted, enabled_at
+        return Answer(True, f"{endpoint} {'out' if disable else 'in'}")
--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -15,7 +15,7 @@
 from birchstack import interface as our
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
-from birchstack.net.log import holds, say
+from birchstack.net.log import check_invariant, log_event
 
 PATH = "/hook"
 KEPT = (our.OK, our.ERROR, our.FULL)  # after these a connection may lie idle for the next call
@@ -197,7 +197,7 @@
         stays: bool = False,
     ) -> None:
         call, answer = self._call, self._answer
-        if not holds(call, "a call ends once"):
+        if not check_invariant(call, "a call ends once"):
             return
         self._call = None
         self._rest()
@@ -252,7 +252,9 @@
     def count_spoilt(self, endpoint: str, problem: str) -> None:
         self._spoilt += 1
         if self._spoilt <= 3 or self._spoilt % 1000 == 0:
-            say(log, "spoilt answer", logging.WARNING, endpoint=endpoint, problem=problem, count=self._spoilt)
+            log_event(
+                log, "spoilt answer", logging.WARNING, endpoint=endpoint, problem=problem, count=self._spoilt
+            )
 
     def __len__(self) -> int:
         return len(self._busy)
@@ -270,7 +272,7 @@
 
     def begin(self, call: Call) -> bool:
         """Finds it a connection: True if there is one that lies idle, else one is dialled."""
-        holds(call.doc not in self._busy, "one transmission of a document is out")
+        check_invariant(call.doc not in self._busy, "one transmission of a document is out")
         call.started = self._clock()
         line = self._newest(call.endpoint) or Line(self, call.endpoint, self.addresses[call.endpoint])
         self._busy[call.doc] = line
--- a/birchstack/net/config.py
+++ b/birchstack/net/config.py
@@ -33,7 +33,7 @@
 # Keys that the environment variable BALANCER_<KEY> overrides
 ENVIRONMENT_KEYS = ("name", "listen", "discovery", "state", "ops")
 # Fields that SIGHUP applies; the others need a restart
-RELOADED = ("discovery", "known", "seed", "settings", "idle_ms", "dial_ms", "kinds", "version")
+RELOADABLE_FIELDS = ("discovery", "known", "seed", "settings", "idle_ms", "dial_ms", "kinds", "version")
 # Settings that must be off, since this sender's connections have no way to carry what they switch on
 UNSUPPORTED = {
     "limits.mayTell": "notes between senders",
@@ -207,10 +207,10 @@
     )
 
 
-def load(environment: Mapping[str, str] = os.environ, again: bool = False) -> Config:
+def load(environment: Mapping[str, str] = os.environ, reloading: bool = False) -> Config:
     """Reads the configuration file that BALANCER_CONFIG names.
 
-    again: the sender is running; the file's address of discovery then overrides the environment's, which
+    reloading: the sender is running; the file's address of discovery then overrides the environment's, which
     cannot change."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
@@ -220,12 +220,12 @@
             raw = json.load(file)
     except (OSError, ValueError) as problem:
         raise ConfigError(f"BALANCER_CONFIG: {problem}") from problem
-    if again and isinstance(raw, dict) and raw.get("discovery"):
+    if reloading and isinstance(raw, dict) and raw.get("discovery"):
         environment = {key: text for key, text in environment.items() if key != "BALANCER_DISCOVERY"}
     return decode(raw, environment)
 
 
-def fits(fresh: Config, old: Config, held: set[str], listed: int) -> None:
+def check_applicable(fresh: Config, old: Config, held: set[str], listed: int) -> None:
     """Raises ConfigError if a running sender cannot apply `fresh` to its current documents and endpoints.
 
     held: types of the documents held; listed: the highest kind of any listed endpoint."""
@@ -245,7 +245,7 @@
         )
 
 
-def take_over(fresh: Config, old: Config) -> tuple[Config, list[str], list[str]]:
+def apply_reload(fresh: Config, old: Config) -> tuple[Config, list[str], list[str]]:
     """Returns the new configuration, the names of changed settings, and of changes that need a restart."""
     changed = [
         each.name
@@ -255,10 +255,10 @@
     needs_restart = [
         each.name
         for each in dataclasses.fields(Config)
-        if each.name not in RELOADED and getattr(fresh, each.name) != getattr(old, each.name)
+        if each.name not in RELOADABLE_FIELDS and getattr(fresh, each.name) != getattr(old, each.name)
     ]
     return (
-        dataclasses.replace(old, **{name: getattr(fresh, name) for name in RELOADED}),
+        dataclasses.replace(old, **{name: getattr(fresh, name) for name in RELOADABLE_FIELDS}),
         changed,
         needs_restart,
     )
--- a/birchstack/net/discovery.py
+++ b/birchstack/net/discovery.py
@@ -15,29 +15,30 @@
 from birchstack import interface as our
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link, address
-from birchstack.net.log import say
-
-BEAT_S = 2.0  # interval of the agent's heartbeats
-BEATS = 2.5  # heartbeat intervals without data after which a watch counts as silent
-ANSWER_S = 2.0  # time-out for the dial and the response head
-AGAIN_S = 0.5  # delay before a watch that ended is requested again
-FIRST_S = 0.5  # wait for the first list at the start, before the configured list is used
-# A change counts as known to the sender at the latest TOLD_S after discovery became reachable, whatever
-# failed before. The next request that discovery can answer begins at most ASKED_S after that moment: a
-# request that waits for its dial or response head is abandoned ANSWER_S after it began; one that delivers
-# nothing complete is abandoned BEAT_S * BEATS after it began or last delivered; one that ends by itself just
-# before is repeated AGAIN_S later: max(2, 5) + 0.5 = 5.5 s. The other 0.5 s are for the dial, the head and
-# the list. A longer delay between requests has to fit in here (tests/test_watch_bound.py).
-TOLD_S = 6.0
-ASKED_S = max(ANSWER_S, BEAT_S * BEATS) + AGAIN_S
-MOST_LIST = 4 << 20  # bytes of an incomplete list
-MOST_REV = (1 << 63) - 1  # largest version that every component that stores versions can hold
+from birchstack.net.log import log_event
+
+HEARTBEAT_S = 2.0  # interval of the agent's heartbeats
+SILENT_HEARTBEATS = 2.5  # heartbeat intervals without data after which a watch counts as silent
+RESPONSE_TIMEOUT_S = 2.0  # time-out for the dial and the response head
+RETRY_DELAY_S = 0.5  # delay before a watch that ended is requested again
+FIRST_LIST_TIMEOUT_S = 0.5  # wait for the first list at the start, before the configured list is used
+# A change counts as known to the sender at the latest PROPAGATION_BOUND_S after discovery became reachable,
+# whatever failed before. The next request that discovery can answer begins at most REQUEST_BOUND_S after
+# that moment: a request that waits for its dial or response head is abandoned RESPONSE_TIMEOUT_S after it
+# began; one that delivers nothing complete is abandoned HEARTBEAT_S * SILENT_HEARTBEATS after it began or
+# last delivered; one that ends by itself just before is repeated RETRY_DELAY_S later: max(2, 5) + 0.5 = 5.5
+# seconds. The other 0.5 s are for the dial, the head and the list. A longer delay between requests has to fit
+# in here (tests/test_watch_bound.py).
+PROPAGATION_BOUND_S = 6.0
+REQUEST_BOUND_S = max(RESPONSE_TIMEOUT_S, HEARTBEAT_S * SILENT_HEARTBEATS) + RETRY_DELAY_S
+MAX_LIST_BYTES = 4 << 20  # bytes of an incomplete list
+MAX_VERSION = (1 << 63) - 1  # largest version that every component that stores versions can hold
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 STATES = {"active": our.READY, "leaving": our.DRAINING, "left": our.GONE}
 log = logging.getLogger(__name__)
 
 
-def entries(lines: list[dict], kinds: tuple[str, ...]) -> list[tuple[our.Endpoint, tuple[str, int]]]:
+def decode_targets(lines: list[dict], kinds: tuple[str, ...]) -> list[tuple[our.Endpoint, tuple[str, int]]]:
     """Decodes the targets of a list into endpoints and their addresses."""
     return [
         (
@@ -58,8 +59,8 @@
 class Watch:
     """Keeps a watch on the list of endpoints and requests it again whenever it ends or falls silent.
 
-    listed(mode, entries) is called with every list and delta. told(message, source) is called before each,
-    and may return False to reject it.
+    on_list(mode, entries) is called with every list and delta. accepts(message, source) is called before
+    each, and may return False to reject it.
 
     A single timer detects silence. It starts with the request, and only a complete list, delta or heartbeat
     restarts it. Single bytes do not, nor does the response head: otherwise a response that begins late and
@@ -68,16 +69,16 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        where: tuple[str, int],
+        agent: tuple[str, int],
         kinds: tuple[str, ...],
-        listed: Callable,
-        told: Callable[[dict, str], bool] = lambda message, source: True,
+        on_list: Callable,
+        accepts: Callable[[dict, str], bool] = lambda message, source: True,
     ) -> None:
         self._loop = loop
-        self._address = where
+        self._address = agent
         self._kinds = kinds
-        self._on_list = listed
-        self._accepts = told
+        self._on_list = on_list
+        self._accepts = accepts
         self._version = 0
         self._heard_at = loop.time()
         self._requested_at = 0.0
@@ -96,23 +97,23 @@
         """Starts the watch from the list in the configuration.
 
         The configured list may be outdated and name endpoints that were removed while no process ran. It is
-        therefore held back until discovery delivers a list or a delta to it; see first()."""
+        therefore held back until discovery delivers a list or a delta to it; see wait_for_first()."""
         if known.get("targets") is not None:
             self._known = self._read(json.dumps({**known, "all": True}))
             self._version = self._known[2] if self._known else 0
         self._request()
 
-    async def first(self) -> None:
-        """Waits for the first list; if discovery stays silent for FIRST_S, uses the configured list."""
-        await asyncio.wait([self._first], timeout=FIRST_S)
+    async def wait_for_first(self) -> None:
+        """Waits for the first list; without one in FIRST_LIST_TIMEOUT_S, uses the configured list."""
+        await asyncio.wait([self._first], timeout=FIRST_LIST_TIMEOUT_S)
         self._apply_known()
 
-    def move(self, where: tuple[str, int], kinds: tuple[str, ...]) -> None:
+    def reconfigure(self, agent: tuple[str, int], kinds: tuple[str, ...]) -> None:
         """Changes the address, continuing from the current version; new kinds need the full list again."""
         if kinds != self._kinds:
             self._version = 0
-        if where != self._address or kinds != self._kinds:
-            self._address, self._kinds = where, kinds
+        if agent != self._address or kinds != self._kinds:
+            self._address, self._kinds = agent, kinds
             self._request()
 
     def silent_ms(self) -> float:
@@ -134,7 +135,7 @@
         self._lines = []
         self._depth = self._size = 0
         self._requested_at = self._loop.time()
-        self._timer = self._loop.call_at(self._requested_at + ANSWER_S, self._request)
+        self._timer = self._loop.call_at(self._requested_at + RESPONSE_TIMEOUT_S, self._request)
         self._dial = Dial(self._loop, self._address, self, self._retry)
 
     def _disconnect(self) -> None:
@@ -148,14 +149,16 @@
 
     def _retry(self) -> None:
         self._disconnect()
-        self._timer = self._loop.call_later(AGAIN_S, self._request)
+        self._timer = self._loop.call_later(RETRY_DELAY_S, self._request)
 
     def _restart_timer(self, since: float | None = None) -> None:
         """Notes that the watch is alive; its silence counts from `since`, by default from now."""
         self._heard_at = self._loop.time()
         if self._timer:
             self._timer.cancel()
-        self._timer = self._loop.call_at((since or self._heard_at) + BEAT_S * BEATS, self._request)
+        self._timer = self._loop.call_at(
+            (since or self._heard_at) + HEARTBEAT_S * SILENT_HEARTBEATS, self._request
+        )
 
     def opened(self, link: Link) -> None:
         """Called when the connection is established: sends the request."""
@@ -185,12 +188,12 @@
             *lines, self._buffer = self._buffer.split(b"\n")
             for line in lines:
                 self._line(line)
-            if self._size + len(self._buffer) > MOST_LIST:
+            if self._size + len(self._buffer) > MAX_LIST_BYTES:
                 raise http1.Malformed("list too long")
             if ended:
                 self._retry()
         except http1.Malformed as problem:
-            say(log, "the watch broke", logging.WARNING, problem=problem)
+            log_event(log, "the watch broke", logging.WARNING, problem=problem)
             self._retry()
 
     def _line(self, line: bytes | bytearray) -> None:
@@ -218,12 +221,12 @@
         """Decodes a list or delta into message, entries and version; None if it is malformed."""
         try:
             message = json.loads(text)
-            listed = entries(message["targets"], self._kinds)
+            listed = decode_targets(message["targets"], self._kinds)
             rev = message["rev"]
-            if isinstance(rev, bool) or not isinstance(rev, int) or not 0 <= rev <= MOST_REV:
+            if isinstance(rev, bool) or not isinstance(rev, int) or not 0 <= rev <= MAX_VERSION:
                 raise ValueError(f"rev: {rev!r} is not a version")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as problem:
-            say(log, "malformed list", logging.WARNING, problem=f"{type(problem).__name__}: {problem}")
+            log_event(log, "malformed list", logging.WARNING, problem=f"{type(problem).__name__}: {problem}")
             return None
         return message, listed, rev
 
--- a/birchstack/net/front.py
+++ b/birchstack/net/front.py
@@ -14,7 +14,7 @@
 
 from birchstack.net import http1
 from birchstack.net.driver import Link
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Listener, Machine
 from birchstack.net.room import coming
 
@@ -275,7 +275,7 @@
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
         if self.counts[what] <= 3:
-            say(log, what, logging.WARNING)
+            log_event(log, what, logging.WARNING)
 
     def joined(self, client: Client) -> None:
         self._clients[client] = None
@@ -349,7 +349,7 @@
         transport, one pass later."""
         if not self._server:
             return
-        quiet = 0 if self._machine.knocked(self._server) else quiet + 1
+        quiet = 0 if self._machine.has_pending(self._server) else quiet + 1
         if quiet < QUIET:
             self._loop.call_later(0.0, self.shut, quiet)
         else:
--- a/birchstack/net/ledger.py
+++ b/birchstack/net/ledger.py
@@ -17,9 +17,9 @@
 
 from birchstack.interface import Recovery
 from birchstack.net import recoveries
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
-from birchstack.net.recoveries import Recoveries
+from birchstack.net.recoveries import RecoveryRecords
 
 FILE = "ledger"
 STANDBY_PREFIX = "ledger-next-"  # file of a process that waits while another one holds the state folder
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Owed:
+class LedgerEntry:
     """An accepted document with its transmission history; times are wall-clock milliseconds."""
 
     id: str
@@ -41,28 +41,28 @@
     destination: int
     key: str | None
     expiry: float
-    number: int  # of its body file
+    body_number: int
     size: int
     repeat_key: str | None = None  # sent as Idempotency-Key, so that endpoints recognise a repeat
     body: bytes = b""
-    found: bool = False  # recovered at start from an earlier process
-    due: float = 0.0  # expiry on the sender's own clock; not stored
+    recovered: bool = False  # recovered at start from an earlier process
+    deadline: float = 0.0  # expiry on the sender's own clock; not stored
     sent: int = 0  # transmissions made
     failed: int = 0  # of those, failures other than refusals
-    out: tuple[str, float] | None = None  # zone and time of the transmission in flight
-    doubt: list[tuple[str, float]] = field(default_factory=list)  # transmissions that may have been executed
+    in_flight: tuple[str, float] | None = None  # zone and time of the transmission in flight
+    in_doubt: list[tuple[str, float]] = field(default_factory=list)  # those that may have been executed
     notice: tuple[str, float] | None = None  # result and wait to report, until the platform acknowledges them
 
-    def came_back(self, doubt: int, failed: int) -> None:
+    def apply_outcome(self, doubt: int, failed: int) -> None:
         """Applies the outcome of the latest transmission."""
-        if self.out is None:
+        if self.in_flight is None:
             self.sent += 1  # never written to the connection, but it counts as a transmission
         elif doubt:
-            self.doubt.append(self.out)
-        self.failed, self.out = self.failed + bool(failed), None
+            self.in_doubt.append(self.in_flight)
+        self.failed, self.in_flight = self.failed + bool(failed), None
 
 
-def blocks(size: int) -> int:
+def round_up_to_blocks(size: int) -> int:
     """Rounds a size in bytes up to whole disk blocks."""
     return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
@@ -70,34 +70,34 @@
 class Ledger:
     """Current state in memory, in order of acceptance; each change is on disk before its method returns."""
 
-    def __init__(self, folder: Folder, limit: int, waiting: str = "") -> None:
+    def __init__(self, folder: Folder, limit: int, standby_name: str = "") -> None:
         """Opens the ledger in `folder` with at most `limit` bytes.
 
-        waiting: set on a standby process, while another process holds the state folder and sends. It is a
-        name in hexadecimal digits that no other process has ever used.
+        standby_name: set on a standby process, while another process holds the state folder and sends. It is
+        a name in hexadecimal digits that no other process has ever used.
 
         A standby process writes its own file and bodies, in a quarter of the space, and reads nothing that
         belongs to the holder. The holder adopts the files of standby processes that have ended: at its start,
-        and by adopt() while it runs. This prevents two processes from sending the same documents or writing
-        one file, and prevents the loss of documents of a standby process that ends before the holder does.
+        and by adopt_standby() while it runs. This prevents two processes from sending the same documents or
+        writing one file, and prevents the loss of documents of a standby process that ends before the holder.
         Drawback: the quarter is not reserved, so a holder that fills the folder leaves no space for a
         standby process.
         """
         self._folder = folder
         self._limit = limit - 4 * 4096  # the folder's own directory blocks may count
-        self.owed: dict[str, Owed] = {}
+        self.entries: dict[str, LedgerEntry] = {}
         self.ended: dict[str, None] = {}  # finished before the start, but still recorded in the file
         self.waits: dict[str, float] = {}  # by endpoint, wall-clock time until which it asked to wait
-        self.recoveries = Recoveries(self._limit)
+        self.recoveries = RecoveryRecords(self._limit)
         self._unsaved_recoveries: dict[str, list] = {}  # by endpoint, records that did not fit on a full disk
-        self.freed: Callable[[int], None] = lambda destination: None  # called when a document or call ends
+        self.on_freed: Callable[[int], None] = lambda destination: None  # called when a document or call ends
         self._adopted: dict[str, bool] = {}  # adopted standby files, and whether the own file records it
         self._body_bytes = self._file_bytes = self._next_body = 0
         self._handle = -1
         self._name = FILE
-        if waiting:
-            self._name, self._limit = STANDBY_PREFIX + waiting, self._limit // 4
-            self._next_body = STANDBY_FIRST_BODY + int(waiting, 16)
+        if standby_name:
+            self._name, self._limit = STANDBY_PREFIX + standby_name, self._limit // 4
+            self._next_body = STANDBY_FIRST_BODY + int(standby_name, 16)
             folder.lock(self._name + LOCK_SUFFIX)  # before the file exists, which others could adopt
             self._handle = folder.open(self._name, fresh=True)
         else:
@@ -105,17 +105,20 @@
 
     # Recording events
 
-    def fits(self, sizes: list[int]) -> bool:
+    def has_space(self, sizes: list[int]) -> bool:
         """Returns whether there is space for documents with bodies of these sizes."""
         records = (
-            RECORD_RESERVE_BYTES * (len(self.owed) + len(sizes))  # for documents
-            + recoveries.LINE * len(self.recoveries)  # for endpoints that are recovering
+            RECORD_RESERVE_BYTES * (len(self.entries) + len(sizes))  # for documents
+            + recoveries.RECORD_BYTES * len(self.recoveries)  # for endpoints that are recovering
         )
-        bodies = self._body_bytes + sum(map(blocks, sizes))
+        bodies = self._body_bytes + sum(map(round_up_to_blocks, sizes))
         # The current file and the one that a compaction writes beside it
-        return bodies + blocks(2 * records) + blocks(records) + COMPACT_MIN_BYTES <= self._limit
+        return (
+            bodies + round_up_to_blocks(2 * records) + round_up_to_blocks(records) + COMPACT_MIN_BYTES
+            <= self._limit
+        )
 
-    def take(
+    def add(
         self,
         doc_id: str,
         kind: str,
@@ -124,42 +127,48 @@
         expiry: float,
         body: bytes,
         repeat_key: str | None = None,
-    ) -> Owed:
+    ) -> LedgerEntry:
         """Stores a newly accepted document.
 
         Raises OSError if it could not be stored; it is not accepted then."""
-        owed = Owed(doc_id, kind, destination, key, expiry, self._next_body, len(body), repeat_key, body)
+        entry = LedgerEntry(
+            doc_id, kind, destination, key, expiry, self._next_body, len(body), repeat_key, body
+        )
         self._next_body += 1
         try:
             if body:
-                self._folder.write(self._body_name(owed), body)
-            self._append(self._take_record(owed))
+                self._folder.write(self._body_name(entry), body)
+            self._append(self._take_record(entry))
         except OSError:
-            self._remove_body_file(owed)
+            self._remove_body_file(entry)
             raise
-        self._body_bytes += blocks(owed.size)
-        self.owed[doc_id] = owed
-        return owed
+        self._body_bytes += round_up_to_blocks(entry.size)
+        self.entries[doc_id] = entry
+        return entry
 
-    def call(self, owed: Owed, zone: str, when: float) -> None:
+    def record_transmission(self, entry: LedgerEntry, zone: str, when: float) -> None:
         """Records a transmission that is about to be written to its connection.
 
         Raises OSError if the record could not be written; the transmission must not be sent then."""
-        self._append(["call", owed.id, zone, when])
-        owed.sent, owed.out = owed.sent + 1, (zone, when)
+        self._append(["call", entry.id, zone, when])
+        entry.sent, entry.in_flight = entry.sent + 1, (zone, when)
 
-    def back(self, owed: Owed, doubt: bool, failed: bool) -> None:
+    def record_outcome(self, entry: LedgerEntry, doubt: bool, failed: bool) -> None:
         """Records the outcome of the latest transmission, whether or not it was written to its connection.
 
         A transmission that was never written has its own kind of record. If a full disk lost the outcome of
         the call before it, that call therefore stays in doubt, and its window and zone keep binding the
         document."""
-        words = ["back", owed.id, int(doubt), int(failed)] if owed.out else ["kept", owed.id, int(failed)]
-        owed.came_back(doubt, failed)
+        words = (
+            ["back", entry.id, int(doubt), int(failed)]
+            if entry.in_flight
+            else ["kept", entry.id, int(failed)]
+        )
+        entry.apply_outcome(doubt, failed)
         self._append_or_log(words)
         self._maintain()
 
-    def told(self, endpoint: str, until: float) -> None:
+    def record_wait(self, endpoint: str, until: float) -> None:
         """Records that an endpoint asked to wait; a successor process, as in an upgrade, honours it too."""
         until = max(until, self.waits.pop(endpoint, until))
         self.waits[endpoint] = until
@@ -167,11 +176,11 @@
             del self.waits[next(iter(self.waits))]
         self._append_or_log(["wait", endpoint, until])
 
-    def remember(self, now: float, recovery: Recovery) -> None:
+    def record_recovery(self, now: float, recovery: Recovery) -> None:
         """Records that an endpoint went down, is warming up or is warm; the next process continues there."""
-        self._unsaved_recoveries[recovery.endpoint] = self.recoveries.keep(now, recovery)
+        self._unsaved_recoveries[recovery.endpoint] = self.recoveries.update(now, recovery)
         if not self._flush_recoveries():
-            say(
+            log_event(
                 log,
                 "recovery not noted",
                 logging.ERROR,
@@ -179,26 +188,26 @@
                 waiting=len(self._unsaved_recoveries),
             )
 
-    def begin_recoveries_anew(self, now: float) -> None:
+    def restart_recoveries(self, now: float) -> None:
         """Restarts every recovery stage at `now`, where the previous process's clock cannot be trusted."""
         if len(self.recoveries):
-            self.recoveries.begin_anew(now)
+            self.recoveries.restart(now)
             self.compact()
-            say(log, "recoveries begin anew: no clock tells their age", endpoints=len(self.recoveries))
+            log_event(log, "recoveries begin anew: no clock tells their age", endpoints=len(self.recoveries))
 
-    def notice(self, owed: Owed, result: str, wait_ms: float) -> None:
+    def record_notice(self, entry: LedgerEntry, result: str, wait_ms: float) -> None:
         """Records that a document ended undelivered and that the platform has to be notified."""
-        owed.notice = result, wait_ms
-        self._append_or_log(["notice", owed.id, result, wait_ms])
-        self._release_body(owed)
-        self.freed(owed.destination)
+        entry.notice = result, wait_ms
+        self._append_or_log(["notice", entry.id, result, wait_ms])
+        self._release_body(entry)
+        self.on_freed(entry.destination)
 
-    def done(self, owed: Owed) -> None:
+    def finish(self, entry: LedgerEntry) -> None:
         """Records that a document needs nothing more, and removes it."""
-        if self.owed.pop(owed.id, None) is None:
+        if self.entries.pop(entry.id, None) is None:
             return
-        self._append_or_log(["done", owed.id])
-        self._release_body(owed)
+        self._append_or_log(["done", entry.id])
+        self._release_body(entry)
         self._maintain()
 
     def close(self) -> None:
@@ -207,11 +216,11 @@
         if self._name != FILE:
             self._folder.unlock(self._name + LOCK_SUFFIX)
 
-    def awaited(self) -> bool:
+    def has_standby(self) -> bool:
         """Returns whether a standby process waits for this one to end."""
         return any(not ended for ended in self._standby_files().values())
 
-    def adopt(self) -> list[Owed]:
+    def adopt_standby(self) -> list[LedgerEntry]:
         """Adopts the documents of standby processes that ended before this one.
 
         Returns the documents that are new here. A file that could not be adopted whole is retried by the next
@@ -221,24 +230,24 @@
             name for name, ended in self._standby_files().items() if ended and name not in self._adopted
         ]:
             try:
-                left = Replayed(self._folder.read(name))
+                left = LedgerReplay(self._folder.read(name))
                 fresh = [
-                    owed
-                    for each, owed in left.owed.items()
-                    if each not in self.owed and each not in self.ended
+                    entry
+                    for each, entry in left.entries.items()
+                    if each not in self.entries and each not in self.ended
                 ]
-                records = [words for owed in fresh for words in self._snapshot_records(owed)]
+                records = [words for entry in fresh for words in self._snapshot_records(entry)]
                 self._append(*records, ["took", name])
             except OSError as problem:
-                say(log, "not taken up", logging.ERROR, file=name, problem=problem)
+                log_event(log, "not taken up", logging.ERROR, file=name, problem=problem)
                 continue
             self._adopted[name] = True
-            for owed in fresh:
-                owed.found = True
-                self._load_body(owed)
-                self.owed[owed.id] = owed
+            for entry in fresh:
+                entry.recovered = True
+                self._load_body(entry)
+                self.entries[entry.id] = entry
             found += fresh
-            say(log, "taken up", file=name, owed=len(fresh))
+            log_event(log, "taken up", file=name, owed=len(fresh))
         self._remove_adopted_files()
         return found
 
@@ -272,7 +281,7 @@
 
     def _maintain(self) -> None:
         """Compacts the file once it is large and mostly obsolete; otherwise retries unsaved recoveries."""
-        live_bytes = RECORD_RESERVE_BYTES * len(self.owed) + recoveries.LINE * len(self.recoveries)
+        live_bytes = RECORD_RESERVE_BYTES * len(self.entries) + recoveries.RECORD_BYTES * len(self.recoveries)
         if self._file_bytes > max(COMPACT_MIN_BYTES, 2 * live_bytes):
             self.compact()
         elif self._unsaved_recoveries:
@@ -289,20 +298,20 @@
 
     # Files
 
-    def _body_name(self, owed: Owed) -> str:
-        return f"body-{owed.number}"
+    def _body_name(self, entry: LedgerEntry) -> str:
+        return f"body-{entry.body_number}"
 
-    def _remove_body_file(self, owed: Owed) -> None:
+    def _remove_body_file(self, entry: LedgerEntry) -> None:
         with contextlib.suppress(OSError):
-            self._folder.unlink(self._body_name(owed))
+            self._folder.unlink(self._body_name(entry))
 
-    def _release_body(self, owed: Owed) -> None:
+    def _release_body(self, entry: LedgerEntry) -> None:
         """Frees the body in memory, on disk and in the space accounting."""
-        if owed.size:
-            self._remove_body_file(owed)
-        self._body_bytes -= blocks(owed.size)
-        owed.size = 0
-        owed.body = b""
+        if entry.size:
+            self._remove_body_file(entry)
+        self._body_bytes -= round_up_to_blocks(entry.size)
+        entry.size = 0
+        entry.body = b""
 
     @staticmethod
     def _encode(words: list) -> bytes:
@@ -312,17 +321,17 @@
         return b"\n%08x %s" % (zlib.crc32(text), text)
 
     @staticmethod
-    def _take_record(owed: Owed) -> list:
+    def _take_record(entry: LedgerEntry) -> list:
         return [
             "take",
-            owed.id,
-            owed.type,
-            owed.destination,
-            owed.key,
-            owed.expiry,
-            owed.number,
-            owed.size,
-            *([owed.repeat_key] if owed.repeat_key else []),
+            entry.id,
+            entry.type,
+            entry.destination,
+            entry.key,
+            entry.expiry,
+            entry.body_number,
+            entry.size,
+            *([entry.repeat_key] if entry.repeat_key else []),
         ]
 
     def _append(self, *records: list) -> None:
@@ -338,21 +347,24 @@
         try:
             self._append(words)
         except OSError as problem:
-            say(log, "not noted", logging.ERROR, what=words[0], doc=words[1], problem=problem)
+            log_event(log, "not noted", logging.ERROR, what=words[0], doc=words[1], problem=problem)
 
-    def _snapshot_records(self, owed: Owed) -> list[list]:
+    def _snapshot_records(self, entry: LedgerEntry) -> list[list]:
         """Returns the fewest records that reproduce this document's current state."""
-        words = [self._take_record(owed), ["past", owed.id, owed.sent, owed.failed, owed.out, owed.doubt]]
-        return words + ([["notice", owed.id, *owed.notice]] if owed.notice else [])
+        words = [
+            self._take_record(entry),
+            ["past", entry.id, entry.sent, entry.failed, entry.in_flight, entry.in_doubt],
+        ]
+        return words + ([["notice", entry.id, *entry.notice]] if entry.notice else [])
 
     def compact(self) -> bool:
         """Rewrites the file with only the current state; the old file is valid until the new one is renamed.
 
         Returns whether it succeeded."""
-        records = [words for owed in self.owed.values() for words in self._snapshot_records(owed)]
+        records = [words for entry in self.entries.values() for words in self._snapshot_records(entry)]
         records += [["wait", name, until] for name, until in self.waits.items()]
         records += [["took", name] for name in self._adopted]
-        records += self.recoveries.lines()
+        records += self.recoveries.records()
         data = b"".join(map(self._encode, records))
         handle = -1
         try:
@@ -364,7 +376,7 @@
             if handle >= 0:
                 self._folder.close(handle)
             self._file_bytes = 0  # retried once as many bytes have been appended again
-            say(log, "not compacted", logging.ERROR, problem=problem)
+            log_event(log, "not compacted", logging.ERROR, problem=problem)
             return False
         self._folder.close(self._handle)
         self._handle, self._file_bytes = handle, len(data)
@@ -382,42 +394,53 @@
         standby = self._standby_files()
         with contextlib.suppress(FileNotFoundError):
             own = self._folder.read(FILE)
-        adopted = Replayed(own).took if standby else ()
+        adopted = LedgerReplay(own).adopted_files if standby else ()
         self._adopted = {name: name in adopted for name, ended in standby.items() if ended}
         texts = [self._folder.read(name) for name, recorded in self._adopted.items() if not recorded]
-        past = Replayed(b"\n".join([*texts, own]), self.recoveries)
-        self.owed, self.ended, self.waits, self._next_body = past.owed, past.ended, past.waits, past.next
-        for owed in self.owed.values():
-            owed.found = True
-            if owed.out:
-                owed.doubt.append(owed.out)  # it may have been executed, and its outcome will never arrive
-                owed.out = None
-            self._load_body(owed)
+        past = LedgerReplay(b"\n".join([*texts, own]), self.recoveries)
+        self.entries, self.ended, self.waits, self._next_body = (
+            past.entries,
+            past.ended,
+            past.waits,
+            past.next_body,
+        )
+        for entry in self.entries.values():
+            entry.recovered = True
+            if entry.in_flight:
+                entry.in_doubt.append(entry.in_flight)  # its outcome will never arrive
+                entry.in_flight = None
+            self._load_body(entry)
         self._remove_stray_files(not all(standby.values()))
         self._handle = self._folder.open(FILE)
         self._remove_adopted_files()
         if own or texts:
-            say(log, "recovered", owed=len(self.owed), torn=past.torn, recovering=len(self.recoveries))
+            log_event(
+                log,
+                "recovered",
+                owed=len(self.entries),
+                torn=past.unreadable,
+                recovering=len(self.recoveries),
+            )
 
-    def _load_body(self, owed: Owed) -> None:
+    def _load_body(self, entry: LedgerEntry) -> None:
         """Reads a document's body; one whose body is missing ends undelivered."""
-        if owed.notice:
-            owed.size = 0
-        if not owed.size:
+        if entry.notice:
+            entry.size = 0
+        if not entry.size:
             return
         with contextlib.suppress(OSError):
-            owed.body = self._folder.read(self._body_name(owed))
-        if len(owed.body) == owed.size:
-            self._body_bytes += blocks(owed.size)
+            entry.body = self._folder.read(self._body_name(entry))
+        if len(entry.body) == entry.size:
+            self._body_bytes += round_up_to_blocks(entry.size)
         else:  # it cannot be sent any more, but the platform still has to be notified
-            say(log, "body lost", logging.ERROR, doc=owed.id)
-            owed.size = 0
-            owed.body = b""
-            owed.notice = ("dead", 0.0)
+            log_event(log, "body lost", logging.ERROR, doc=entry.id)
+            entry.size = 0
+            entry.body = b""
+            entry.notice = ("dead", 0.0)
 
     def _remove_stray_files(self, standby_alive: bool) -> None:
         """Removes unfinished files and bodies of no document, except those of a live standby process."""
-        wanted = {self._body_name(owed) for owed in self.owed.values() if owed.size}
+        wanted = {self._body_name(entry) for entry in self.entries.values() if entry.size}
         for name in self._folder.names():
             number = name[5:] if name.startswith("body-") else ""
             standby_body = standby_alive and number.isdecimal() and int(number) >= STANDBY_FIRST_BODY
@@ -426,26 +449,26 @@
                     self._folder.unlink(name)
 
 
-class Replayed:
+class LedgerReplay:
     """The state that results from replaying a ledger file's records."""
 
-    def __init__(self, text: bytes, known: Recoveries | None = None) -> None:
+    def __init__(self, text: bytes, known: RecoveryRecords | None = None) -> None:
         """Replays `text`; known: receives the recovery records, which are ignored without it."""
-        self._recoveries = Recoveries(0) if known is None else known
-        self.owed: dict[str, Owed] = {}
+        self._recoveries = RecoveryRecords(0) if known is None else known
+        self.entries: dict[str, LedgerEntry] = {}
         self.ended: dict[str, None] = {}
         self.waits: dict[str, float] = {}
-        self.took: set[str] = set()  # standby files whose documents have been adopted
-        self.next = 0  # one above the highest body number
-        self.torn = 0  # lines that cannot be read
+        self.adopted_files: set[str] = set()  # standby files whose documents have been adopted
+        self.next_body = 0  # one above the highest body number
+        self.unreadable = 0  # lines that cannot be read
         for line in filter(None, text.split(b"\n")):
             try:
                 if int(line[:8], 16) != zlib.crc32(line[9:]):
                     raise ValueError("sum")
                 self._replay(*json.loads(line[9:]))
             except (ValueError, TypeError, KeyError):
-                self.torn += 1  # the last record was cut off by a crash, or the disk is damaged
-                self._recoveries.replay_cut(line)
+                self.unreadable += 1  # the last record was cut off by a crash, or the disk is damaged
+                self._recoveries.replay_damaged(line)
 
     def _replay(self, what: str, doc_id: str, *words) -> None:
         """Applies one record; for some kinds, doc_id is the name of an endpoint or a file."""
@@ -456,26 +479,29 @@
             self._recoveries.replay(what, doc_id, *words)
             return
         if what == "took":  # doc_id is a standby file
-            self.took.add(doc_id)
+            self.adopted_files.add(doc_id)
             return
         if what == "take":
-            self.owed[doc_id] = Owed(doc_id, *words)
-            self.next = max(self.next, self.owed[doc_id].number + 1)
+            self.entries[doc_id] = LedgerEntry(doc_id, *words)
+            self.next_body = max(self.next_body, self.entries[doc_id].body_number + 1)
             return
-        owed = self.owed[doc_id]
+        entry = self.entries[doc_id]
         if what == "call":
-            if owed.out:  # the outcome of the call before was not recorded
-                owed.doubt.append(owed.out)
-            owed.sent, owed.out = owed.sent + 1, (words[0], words[1])
+            if entry.in_flight:  # the outcome of the call before was not recorded
+                entry.in_doubt.append(entry.in_flight)
+            entry.sent, entry.in_flight = entry.sent + 1, (words[0], words[1])
         elif what == "kept":
-            owed.sent, owed.failed = owed.sent + 1, owed.failed + words[0]
+            entry.sent, entry.failed = entry.sent + 1, entry.failed + words[0]
         elif what == "back":
-            owed.came_back(*words)
+            entry.apply_outcome(*words)
         elif what == "past":
-            owed.sent, owed.failed, out, doubt = words
-            owed.out, owed.doubt = tuple(out) if out else None, [(zone, when) for zone, when in doubt]
+            entry.sent, entry.failed, out, doubt = words
+            entry.in_flight, entry.in_doubt = (
+                tuple(out) if out else None,
+                [(zone, when) for zone, when in doubt],
+            )
         elif what == "notice":
-            owed.notice = words[0], words[1]
+            entry.notice = words[0], words[1]
         elif what == "done":
-            del self.owed[doc_id]
+            del self.entries[doc_id]
             self.ended[doc_id] = None
--- a/birchstack/net/listed.py
+++ b/birchstack/net/listed.py
@@ -8,10 +8,10 @@
 from birchstack import interface as our
 from birchstack.net.calls import Calls
 
-LEAST = 4096  # destinations remembered at least, even if fewer endpoints are listed
+MIN_REMEMBERED = 4096  # destinations remembered at least, even if fewer endpoints are listed
 
 
-class Listed:
+class EndpointList:
     """Applies lists and deltas from discovery, and passes addresses on to the calls."""
 
     def __init__(self, calls: Calls) -> None:
@@ -19,17 +19,17 @@
         self.entries: dict[str, our.Endpoint] = {}  # as discovery lists them
         self._destinations: dict[int, None] = {}  # least recently listed first
 
-    def serves(self, destination: int) -> bool:
+    def is_known(self, destination: int) -> bool:
         """Returns False for a destination that no list has named; True for all before the first list."""
         return destination in self._destinations or not self._destinations
 
-    def ready(self, destination: int) -> bool:
+    def has_ready(self, destination: int) -> bool:
         """Returns whether the destination has a listed endpoint in the ready state."""
         return any(
             entry.state == our.READY and entry.destination == destination for entry in self.entries.values()
         )
 
-    def last_kind(self) -> int:
+    def highest_kind(self) -> int:
         """Returns the highest kind of any listed endpoint."""
         return max((entry.kind for entry in self.entries.values()), default=0)
 
@@ -40,14 +40,14 @@
             for name in [each for each in self.entries if each not in named]:
                 self._calls.gone(name)
                 del self.entries[name]
-        for entry, where in listed:
+        for entry, address in listed:
             if entry.state != our.GONE:
-                self._calls.move(entry.name, where)
+                self._calls.move(entry.name, address)
                 self.entries[entry.name] = entry
                 self._destinations.pop(entry.destination, None)
                 self._destinations[entry.destination] = None
             else:
                 self._calls.gone(entry.name)
                 self.entries.pop(entry.name, None)
-        while len(self._destinations) > max(LEAST, len(self.entries)):
+        while len(self._destinations) > max(MIN_REMEMBERED, len(self.entries)):
             del self._destinations[next(iter(self._destinations))]
--- a/birchstack/net/log.py
+++ b/birchstack/net/log.py
@@ -12,10 +12,10 @@
 import sys
 from collections import Counter
 
-broken: Counter[str] = Counter()  # violated invariants since the start
+violations: Counter[str] = Counter()  # violated invariants since the start
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """Formats a record as key=value pairs: the standard ones, then those of the call."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -25,7 +25,7 @@
             "level": record.levelname.lower(),
             "part": record.name.rpartition(".")[2],
             "event": record.getMessage(),
-            **getattr(record, "words", {}),
+            **getattr(record, "fields", {}),
         }
         if record.exc_info:
             fields["trace"] = self.formatException(record.exc_info)
@@ -40,7 +40,7 @@
         return '"' + escaped.replace("\n", "\\n").replace("\r", "\\r").replace("\t", "\\t") + '"'
 
 
-class Unblocked(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Writes lines to a file descriptor without ever waiting for it.
 
     The descriptor may be shared with other processes, so it is not switched to non-blocking mode."""
@@ -62,25 +62,27 @@
         self.dropped += 1
 
 
-def start(level: int = logging.INFO) -> None:
+def configure(level: int = logging.INFO) -> None:
     """Configures the root logger to write key=value lines to standard error."""
-    handler = Unblocked(sys.stderr.fileno())
-    handler.setFormatter(KeyValue())
+    handler = NonBlockingHandler(sys.stderr.fileno())
+    handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
     logging.getLogger("asyncio").setLevel(logging.WARNING)
 
 
-def say(log: logging.Logger, event: str, level: int = logging.INFO, **words: object) -> None:
+def log_event(log: logging.Logger, event: str, level: int = logging.INFO, **fields: object) -> None:
     """Logs an event with fields."""
-    log.log(level, event, extra={"words": words})
+    log.log(level, event, extra={"fields": fields})
 
 
-def holds(condition: object, what: str) -> bool:
+def check_invariant(condition: object, what: str) -> bool:
     """Checks an invariant: asserted in debug builds, else counted and logged (the first three times)."""
     if condition:
         return True
-    broken[what] += 1
+    violations[what] += 1
     assert condition, what
-    if broken[what] <= 3:
-        say(logging.getLogger(__name__), "does not hold", logging.ERROR, what=what, count=broken[what])
+    if violations[what] <= 3:
+        log_event(
+            logging.getLogger(__name__), "does not hold", logging.ERROR, what=what, count=violations[what]
+        )
     return False
--- a/birchstack/net/machine.py
+++ b/birchstack/net/machine.py
@@ -19,12 +19,12 @@
 import time
 from collections.abc import Callable
 
-ACCEPTED = 16  # connections being accepted at once, by default
+DEFAULT_MAX_ACCEPTING = 16  # connections being accepted at once, by default
 BACKLOG = 1024  # connections that wait in the kernel to be accepted
 EXHAUSTED = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # no descriptor or memory left
-PAUSE_S = 0.1  # no connection is accepted for this time after descriptors ran out
+ACCEPT_PAUSE_S = 0.1  # no connection is accepted for this time after descriptors ran out
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
-ANCHOR = "clock"  # file that stores the persistent clock's offset
+CLOCK_FILE = "clock"  # file that stores the persistent clock's offset
 
 
 class Folder:
@@ -111,24 +111,24 @@
 
     asyncio's own server accepts a whole backlog in one pass, before the protocols of those connections know
     of them; when descriptors run out it logs each attempt and accepts nothing for a second. Here at most
-    `at_once` connections are being accepted and the others wait in the kernel; when descriptors run out,
-    short() may close something, and accepting pauses for PAUSE_S. Drawback: a burst takes more passes of the
-    event loop."""
+    `max_accepting` connections are being accepted and the others wait in the kernel; when descriptors run
+    out, on_exhausted() may close something, and accepting pauses for ACCEPT_PAUSE_S. Drawback: a burst takes
+    more passes of the event loop."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         door: socket.socket,
         protocol: Callable[[], asyncio.BufferedProtocol],
-        at_once: int,
-        short: Callable[[], None],
+        max_accepting: int,
+        on_exhausted: Callable[[], None],
     ) -> None:
         door.setblocking(False)
         self._loop = loop
         self._socket = door
         self._protocol = protocol
-        self._on_exhausted = short
-        self._max_accepting = at_once
+        self._on_exhausted = on_exhausted
+        self._max_accepting = max_accepting
         self._accepting: set[asyncio.Task] = set()  # accepted, but not yet passed to their protocols
         self.sockets: tuple[socket.socket, ...] = (door,)
         self._resume()
@@ -160,7 +160,7 @@
                 if problem.errno not in EXHAUSTED:
                     raise
                 self._loop.remove_reader(self._socket)
-                self._loop.call_later(PAUSE_S, self._resume)
+                self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 self._on_exhausted()
                 return
             task = self._loop.create_task(self._connect(client))
@@ -183,7 +183,7 @@
         """Returns the time since the machine started: monotonic, and the same for all processes."""
         return time.monotonic() * 1000.0
 
-    def boot(self) -> str:
+    def boot_id(self) -> str:
         """Returns an identifier of the machine's current boot; empty if there is none."""
         try:
             with open(BOOT_ID_PATH, encoding="ascii") as file:
@@ -191,7 +191,7 @@
         except OSError:
             return ""
 
-    def unique(self) -> str:
+    def unique_name(self) -> str:
         """Returns a globally unique name of hexadecimal digits."""
         return os.urandom(8).hex()
 
@@ -199,7 +199,7 @@
         """Returns the state folder at a path."""
         return Folder(path)
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         """Returns the number of file descriptors that the process may have open."""
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         return sys.maxsize if limit == resource.RLIM_INFINITY else limit
@@ -207,22 +207,22 @@
     async def listen(
         self,
         loop: asyncio.AbstractEventLoop,
-        where: tuple[str, int],
+        address: tuple[str, int],
         protocol: Callable[[], asyncio.BufferedProtocol],
         shared: bool = True,
-        at_once: int = ACCEPTED,
-        short: Callable[[], None] = lambda: None,
+        max_accepting: int = DEFAULT_MAX_ACCEPTING,
+        on_exhausted: Callable[[], None] = lambda: None,
     ) -> Listener:
         """Listens at an address.
 
-        shared: another process of this sender may listen at the same address (SO_REUSEPORT). at_once: the
-        number of connections being accepted at once. short() is called when no descriptor is left for the
-        next connection."""
-        family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
-        listening = socket.create_server(where, backlog=BACKLOG, family=family, reuse_port=shared)
-        return Listener(loop, listening, protocol, at_once, short)
+        shared: another process of this sender may listen at the same address (SO_REUSEPORT). max_accepting:
+        the number of connections being accepted at once. on_exhausted() is called when no descriptor is left
+        for the next connection."""
+        family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+        listening = socket.create_server(address, backlog=BACKLOG, family=family, reuse_port=shared)
+        return Listener(loop, listening, protocol, max_accepting, on_exhausted)
 
-    def knocked(self, server: Listener) -> bool:
+    def has_pending(self, server: Listener) -> bool:
         """Returns whether a connection waits to be accepted."""
         return bool(select.select(server.sockets, [], [], 0.0)[0])
 
@@ -236,7 +236,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # delivers one that is already pending
 
 
-class LastingClock:
+class PersistentClock:
     """Clock in milliseconds that continues across restarts and is never stepped while the machine is up.
 
     The first process stores the boot identifier and the offset of the wall clock to the monotonic clock.
@@ -247,18 +247,18 @@
 
     def __init__(self, machine: Machine, folder: Folder) -> None:
         self._machine = machine
-        boot = machine.boot()
-        self.kept = False  # whether times of the previous process can be compared with this one's
+        boot = machine.boot_id()
+        self.continued = False  # whether times of the previous process can be compared with this one's
         self._offset_ms = machine.wall_ms() - machine.steady_ms()
         try:
-            written, offset = folder.read(ANCHOR).decode("ascii").split()
+            written, offset = folder.read(CLOCK_FILE).decode("ascii").split()
             if boot and written == boot:
-                self._offset_ms, self.kept = float(offset), True
+                self._offset_ms, self.continued = float(offset), True
                 return
         except (OSError, ValueError):
             pass  # the first process in this folder, or the file is damaged
         with contextlib.suppress(OSError):
-            folder.write(ANCHOR, f"{boot or '-'} {self._offset_ms!r}\n".encode("ascii"))
+            folder.write(CLOCK_FILE, f"{boot or '-'} {self._offset_ms!r}\n".encode("ascii"))
 
     def ms(self) -> float:
         """Returns the time in milliseconds."""
--- a/birchstack/net/notices.py
+++ b/birchstack/net/notices.py
@@ -13,17 +13,17 @@
 
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 
 PATH = "/v1/notices"
-ANSWER_S = 0.1  # first response time-out; doubled after each time-out in a row
-LONGEST_S = 2.0  # longest response time-out
-AGAIN_S = 0.1  # delay before a failed request is repeated
-MOST = 64  # notices in one request
+RESPONSE_TIMEOUT_S = 0.1  # first response time-out; doubled after each time-out in a row
+MAX_RESPONSE_TIMEOUT_S = 2.0  # longest response time-out
+RETRY_DELAY_S = 0.1  # delay before a failed request is repeated
+MAX_BATCH = 64  # notices in one request
 log = logging.getLogger(__name__)
 
 
-def line(doc_id: str, result: str, wait_ms: float) -> bytes:
+def encode(doc_id: str, result: str, wait_ms: float) -> bytes:
     """Encodes one notice as a line of JSON."""
     fields = {"ref": doc_id, "result": result}
     if result == "bounced" and wait_ms > 0:
@@ -32,35 +32,37 @@
 
 
 class Notices:
-    """Sends pending notices in batches; known(ids) is called with those that the platform acknowledged."""
+    """Sends pending notices in batches; on_acknowledged(ids) is called with those acknowledged."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, where: tuple[str, int], known: Callable) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], on_acknowledged: Callable
+    ) -> None:
         self._loop = loop
-        self._address = where
-        self._on_acknowledged = known
+        self._address = address
+        self._on_acknowledged = on_acknowledged
         self._waiting: dict[str, bytes] = {}
         self._in_flight: list[str] = []
         self._link: Link | None = None
         self._dial: Dial | None = None
         self._reader = http1.Responses()
-        self._batch_size = MOST
-        self._answer_timeout_s = ANSWER_S
+        self._batch_size = MAX_BATCH
+        self._answer_timeout_s = RESPONSE_TIMEOUT_S
         self._answer: http1.Response | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def tell(self, doc_id: str, result: str, wait_ms: float) -> None:
+    def queue(self, doc_id: str, result: str, wait_ms: float) -> None:
         """Queues a notice, and sends it unless a request or a retry is pending."""
-        self._waiting[doc_id] = line(doc_id, result, wait_ms)
+        self._waiting[doc_id] = encode(doc_id, result, wait_ms)
         if not self._in_flight and not self._timer:
             self._send()
 
-    def move(self, where: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Changes the platform's address; notices in flight are sent again there."""
-        if where != self._address:
-            self._address = where
+        if address != self._address:
+            self._address = address
             self._failed()
 
     def _send(self) -> None:
@@ -115,17 +117,17 @@
             self._timer.cancel()
             self._timer = None
         if status == 204:
-            self._answer_timeout_s = max(ANSWER_S, self._answer_timeout_s / 2.0)
+            self._answer_timeout_s = max(RESPONSE_TIMEOUT_S, self._answer_timeout_s / 2.0)
             for each in batch:
                 self._waiting.pop(each, None)
-            self._batch_size = MOST
+            self._batch_size = MAX_BATCH
             self._on_acknowledged(batch)
             self._send()
         else:
             self._batch_size = 1  # one notice that the platform refuses must not block the others
             for each in batch[:1] if len(batch) == 1 else []:
                 self._waiting[each] = self._waiting.pop(each)
-            say(log, "notice not taken", logging.ERROR, status=status, count=len(batch))
+            log_event(log, "notice not taken", logging.ERROR, status=status, count=len(batch))
             self._retry()
 
     def _disconnect(self) -> None:
@@ -140,14 +142,14 @@
 
         The connection may have broken without an error, and a document's time may be nearly up. Drawback: a
         slow platform receives some notices twice, which is harmless, and gets a longer time-out."""
-        say(
+        log_event(
             log,
             "notice unanswered",
             logging.WARNING,
             count=len(self._in_flight),
             waited=self._answer_timeout_s,
         )
-        self._answer_timeout_s = min(LONGEST_S, self._answer_timeout_s * 2.0)
+        self._answer_timeout_s = min(MAX_RESPONSE_TIMEOUT_S, self._answer_timeout_s * 2.0)
         self._in_flight = []
         self._disconnect()
         self._send()
@@ -160,4 +162,4 @@
     def _retry(self) -> None:
         if self._timer:
             self._timer.cancel()
-        self._timer = self._loop.call_later(AGAIN_S, self._send)
+        self._timer = self._loop.call_later(RETRY_DELAY_S, self._send)
--- a/birchstack/net/operators.py
+++ b/birchstack/net/operators.py
@@ -1,8 +1,8 @@
 """Operators' HTTP/1.1 server on a listener of its own: one request per connection, answered at once.
 
 Owns the listening socket, its connections and the paths of the requests. Must never decide: the sender
-carries requests out through the Calls it passes in, and the metrics are what the sender counts. A request is
-answered in the same iteration of the event loop in which its last byte arrived.
+carries requests out through the Handlers it passes in, and the metrics are what the sender counts. A request
+is answered in the same iteration of the event loop in which its last byte arrived.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 
 from birchstack.net import http1
 from birchstack.net.driver import Link
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Machine
 
-WHOLE_S = 2.0  # a request that is incomplete after this time is cut off
-MOST = 64  # connections at once; the oldest is closed for a new one
-AT_ONCE = 2  # connections that are being accepted at once
-BODY = 4096  # bytes in the body of a request at most
-PREFIX = "balancer"  # of the metrics' names
-TRAIL = ("GET", "/fleet/trail"), ("POST", "/fleet/trail")  # requested by keepers, if BALANCER_FLEET is set
+REQUEST_TIMEOUT_S = 2.0  # a request that is incomplete after this time is cut off
+MAX_CONNECTIONS = 64  # connections at once; the oldest is closed for a new one
+MAX_ACCEPTING = 2  # connections that are being accepted at once
+MAX_BODY_BYTES = 4096  # bytes in the body of a request at most
+METRIC_PREFIX = "balancer"  # of the metrics' names
+# Sent by keepers, if BALANCER_FLEET is set
+TRAIL_REQUESTS = ("GET", "/fleet/trail"), ("POST", "/fleet/trail")
 log = logging.getLogger(__name__)
 
 
@@ -31,14 +32,14 @@
 class Answer:
     """Whether a request succeeded, with a line of text for the operator."""
 
-    yes: bool
+    ok: bool
     text: str = ""
-    status: int = 0  # HTTP status, if other than 200 (yes) or 400 (no)
+    status: int = 0  # HTTP status, if other than 200 (ok) or 400
     content: bytes | None = None  # binary body for programs, in place of the text
 
     def bytes(self) -> bytes:
         """Encodes the HTTP response."""
-        status = self.status or (200 if self.yes else 400)
+        status = self.status or (200 if self.ok else 400)
         if self.content is not None:
             return _response(status, self.content, "application/octet-stream")
         return _response(
@@ -53,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class Metrics:
     """The sender's metrics since its start; by_type: delivered, refused and failed documents of each type."""
 
     by_type: dict[str, tuple[int, int, int]]
@@ -62,17 +63,17 @@
     listed: int  # endpoints in the list
     avoided: int  # of those, disabled by operators or avoided by the decisions
     reloads: tuple[int, int]  # configurations applied and rejected
-    more: list[tuple[str, object]] = field(default_factory=list)  # metrics of the audit trail, if one is kept
+    extra: list[tuple[str, object]] = field(default_factory=list)  # metrics of the audit trail, if any
 
     def text(self) -> str:
         """Formats one name=value per line, with the names that operators know."""
         lines = [
-            f"{PREFIX}.responses.{name}.{word}={count}"
+            f"{METRIC_PREFIX}.responses.{name}.{word}={count}"
             for name, counts in self.by_type.items()
             for word, count in zip(("ok", "shed", "errors"), counts, strict=True)
         ]
         lines += [
-            f"{PREFIX}.{word}={count}"
+            f"{METRIC_PREFIX}.{word}={count}"
             for word, count in (
                 ("tries", self.transmitted),
                 ("active", self.held),
@@ -80,18 +81,18 @@
                 ("pool_ejected", self.avoided),
                 ("config_applied", self.reloads[0]),
                 ("config_rejected", self.reloads[1]),
-                *self.more,
+                *self.extra,
             )
         ]
         return "\n".join(lines) + "\n"
 
 
 @dataclass(frozen=True, slots=True)
-class Calls:
+class Handlers:
     """The sender's handler for each request; ids are those of the list of endpoints."""
 
     ready: Callable[[], Answer]
-    figures: Callable[[], Figures]
+    metrics: Callable[[], Metrics]
     disable: Callable[[str], Answer]
     enable: Callable[[str], Answer]
     drain: Callable[[], Answer]
@@ -99,12 +100,12 @@
     trail: Callable[[dict[str, list[str]], bytes], Answer] | None = None  # if an audit trail is kept
 
 
-class Caller:
+class OperatorConnection:
     """One connection: a request, its response, then the end."""
 
-    def __init__(self, door: Door) -> None:
-        self._server = door
-        self._reader = http1.Requests(max_body=BODY)
+    def __init__(self, server: OperatorServer) -> None:
+        self._server = server
+        self._reader = http1.Requests(max_body=MAX_BODY_BYTES)
         self._head: http1.Request | None = None
         self._body = bytearray()
         self.link: Link | None = None
@@ -113,7 +114,7 @@
     def opened(self, link: Link) -> None:
         """Called when the connection is accepted."""
         self.link = link
-        self._server.joined(self)
+        self._server.register(self)
 
     def received(self, data: memoryview) -> None:
         """Called with data from the connection."""
@@ -134,70 +135,77 @@
     def _respond(self, answer: Answer) -> None:
         self.done = True
         self.link.write(answer.bytes())
-        self.link.finish(lambda: self._server.left(self))  # it holds its descriptor until then
+        self.link.finish(lambda: self._server.unregister(self))  # it holds its descriptor until then
 
     def lost(self) -> None:
         """Called when the connection is lost."""
         self.done = True
-        self._server.left(self)
+        self._server.unregister(self)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Aborts the connection."""
         self.done = True
-        self._server.left(self)
+        self._server.unregister(self)
         self.link.abort()
 
 
-class Door:
+class OperatorServer:
     """The operators' server."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, calls: Calls, most: int = MOST) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, handlers: Handlers, max_connections: int = MAX_CONNECTIONS
+    ) -> None:
         self._loop = loop
-        self._calls = calls
-        self._max_connections = most
-        self._connections: dict[Caller, float] = {}  # deadline of each request, oldest first
+        self._handlers = handlers
+        self._max_connections = max_connections
+        self._connections: dict[OperatorConnection, float] = {}  # deadline of each request, oldest first
         self._server: asyncio.Server | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
 
-    async def open(self, machine: Machine, where: tuple[str, int]) -> None:
+    async def open(self, machine: Machine, address: tuple[str, int]) -> None:
         """Starts listening."""
-        self._server = await machine.listen(self._loop, where, lambda: Link(Caller(self)), False, AT_ONCE)
+        self._server = await machine.listen(
+            self._loop, address, lambda: Link(OperatorConnection(self)), False, MAX_ACCEPTING
+        )
         self._sweep()
 
-    def joined(self, caller: Caller) -> None:
+    def register(self, connection: OperatorConnection) -> None:
         """Registers a connection; if there are too many, closes the oldest, as idle ones must not block."""
         if len(self._connections) >= self._max_connections:
-            next(iter(self._connections)).cut()
-        self._connections[caller] = self._loop.time() + WHOLE_S
+            next(iter(self._connections)).abort()
+        self._connections[connection] = self._loop.time() + REQUEST_TIMEOUT_S
 
-    def left(self, caller: Caller) -> None:
+    def unregister(self, connection: OperatorConnection) -> None:
         """Unregisters a connection."""
-        self._connections.pop(caller, None)
+        self._connections.pop(connection, None)
 
     def _sweep(self) -> None:
         """Closes connections whose request is overdue."""
         now = self._loop.time()
-        for caller in [each for each, due in self._connections.items() if due <= now]:
-            caller.cut()
+        for connection in [each for each, due in self._connections.items() if due <= now]:
+            connection.abort()
         self._sweep_timer = self._loop.call_later(0.25, self._sweep)
 
     def answer(self, head: http1.Request, body: bytes = b"") -> Answer:
         """Carries out a complete request; an unknown one is refused and changes nothing."""
         query = urllib.parse.parse_qs(head.query, keep_blank_values=True)
         ids = query.get("id", [])
-        calls = self._calls
-        figures = lambda: Answer(True, calls.figures().text())  # noqa: E731
+        handlers = self._handlers
+        metrics = lambda: Answer(True, handlers.metrics().text())  # noqa: E731
         plain = {
-            ("GET", "/ready"): calls.ready,
-            ("GET", "/metrics"): figures,
-            ("POST", "/drain"): calls.drain,
-            ("POST", "/undrain"): calls.undrain,
+            ("GET", "/ready"): handlers.ready,
+            ("GET", "/metrics"): metrics,
+            ("POST", "/drain"): handlers.drain,
+            ("POST", "/undrain"): handlers.undrain,
+        }
+        by_id = {
+            ("POST", "/endpoints/disable"): handlers.disable,
+            ("POST", "/endpoints/enable"): handlers.enable,
         }
-        by_id = {("POST", "/endpoints/disable"): calls.disable, ("POST", "/endpoints/enable"): calls.enable}
         key = head.method, head.path
         try:
-            if key in TRAIL and calls.trail:
-                answer = calls.trail(query, body)
+            if key in TRAIL_REQUESTS and handlers.trail:
+                answer = handlers.trail(query, body)
             elif key in plain:
                 answer = plain[key]()
             elif key in by_id and len(ids) == 1 and ids[0]:
@@ -209,13 +217,13 @@
         except Exception:  # a fault in the sender's handler must still be answered
             log.exception("an operator's call failed")
             answer = Answer(False, "the call failed", 500)
-        if key not in (("GET", "/ready"), ("GET", "/metrics"), *TRAIL):
-            say(
+        if key not in (("GET", "/ready"), ("GET", "/metrics"), *TRAIL_REQUESTS):
+            log_event(
                 log,
                 "operator's call",
                 call=f"{head.method} {head.path}",
                 id=",".join(ids) or "-",
-                yes=answer.yes,
+                yes=answer.ok,
                 said=answer.text.splitlines()[0] if answer.text else "",
             )
         return answer
@@ -226,5 +234,5 @@
             self._server.close()
         if self._sweep_timer:
             self._sweep_timer.cancel()
-        for caller in [*self._connections]:
-            caller.cut()
+        for connection in [*self._connections]:
+            connection.abort()
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -17,8 +17,8 @@
 
 from birchstack.decide import CALL_MS, Sender
 from birchstack.net.front import CLOSED, REJECTED, TAKEN, Handed
-from birchstack.net.ledger import Ledger, Owed
-from birchstack.net.log import say
+from birchstack.net.ledger import Ledger, LedgerEntry
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
 LINES, RUN, DUE = 16, 32, 64  # in one turn: destinations read from, documents of each, and of those overdue
@@ -95,14 +95,14 @@
         core: Sender,
         wall: float,
         loop: asyncio.AbstractEventLoop,
-        adopt: Callable[[float, Owed, str | None], object],
+        adopt: Callable[[float, LedgerEntry, str | None], object],
         soon: Callable[[], None],
     ) -> None:
         self._store, self._window, self._kept = made
         self._ledger, self._core, self._adopt, self._soon = ledger, core, adopt, soon
         self._loop, self._began = loop, wall
-        self._store.drop([*ledger.ended, *ledger.owed])
-        ledger.freed = self.freed
+        self._store.drop([*ledger.ended, *ledger.entries])
+        ledger.on_freed = self.freed
         self._fresh: dict[str, Handed] = {}  # of this turn, not recorded yet
         self._ahead: dict[int, int] = {}  # how many of those, by destination
         self._lines = dict.fromkeys(self._store.destinations())  # that have something on disk
@@ -117,7 +117,7 @@
         return True
 
     def holds(self, doc_id: str) -> bool:
-        return doc_id in self._ledger.owed or self._store.holds(doc_id)
+        return doc_id in self._ledger.entries or self._store.holds(doc_id)
 
     def takes(self, now: float, handed: Handed, age_ms: float, advice_ms: float) -> tuple[str, float] | None:
         """None: it goes before the decisions. Else it waits on disk (TAKEN, once recorded), or is refused, to
@@ -125,7 +125,7 @@
         where, size = handed.destination, len(handed.body)
         ahead = self._store.waiting(where)[0] + self._ahead.get(where, 0)
         room = self._core.room(where, self._window, len(self._lines), ahead)
-        if not ahead and room > 0 and self._ledger.fits([size]):
+        if not ahead and room > 0 and self._ledger.has_space([size]):
             return None
         if back_ms := self._core.back_ms(now, where, handed.left_ms - age_ms, ahead):
             return REJECTED, back_ms
@@ -179,7 +179,7 @@
                     self._stirred.pop(destination, None)
             self._tidy = self._tidy and self._store.step()
         except OSError as problem:
-            say(log, "backlog not read", logging.ERROR, problem=problem)
+            log_event(log, "backlog not read", logging.ERROR, problem=problem)
             self._timer = self._loop.call_later(AGAIN_S, self._soon)
             return
         if more or self._stirred or self._tidy:
@@ -219,7 +219,7 @@
         most = min(RUN, self._room(destination))
         run: list[Kept] = []
         for kept in self._store.read(destination, most) if most > 0 else ():
-            if not self._ledger.fits([len(kept.body)]):
+            if not self._ledger.has_space([len(kept.body)]):
                 break
             self._move(kept)
             run.append(kept)
@@ -232,10 +232,10 @@
         return len(run)
 
     def _move(self, kept: Kept) -> None:
-        owed = self._ledger.take(
+        owed = self._ledger.add(
             kept.id, kept.type, kept.destination, kept.key, kept.expiry, kept.body, kept.repeat_key
         )
-        owed.found = kept.taken < self._began
+        owed.recovered = kept.taken < self._began
 
     def _hand_over(self, now: float, kept: Kept) -> None:
-        self._adopt(now, self._ledger.owed[kept.id], kept.tenant)
+        self._adopt(now, self._ledger.entries[kept.id], kept.tenant)
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -15,21 +15,21 @@
 from birchstack import interface as our
 from birchstack.decide import NEVER_RAN, Sender
 from birchstack.net.audit import MakeAuditLog, SenderStatus
-from birchstack.net.by_hand import ByHand
+from birchstack.net.by_hand import AdministrativeStates
 from birchstack.net.calls import Call, Calls
-from birchstack.net.config import Config, ConfigError, fits, load, take_over
+from birchstack.net.config import Config, ConfigError, apply_reload, check_applicable, load
 from birchstack.net.discovery import Watch
 from birchstack.net.front import ABANDONED, CLOSED, REJECTED, TAKEN, Front, Handed
-from birchstack.net.ledger import Ledger, Owed
-from birchstack.net.listed import Listed
-from birchstack.net.log import broken, holds, say
-from birchstack.net.machine import LastingClock, Machine
+from birchstack.net.ledger import Ledger, LedgerEntry
+from birchstack.net.listed import EndpointList
+from birchstack.net.log import check_invariant, log_event, violations
+from birchstack.net.machine import Machine, PersistentClock
 from birchstack.net.notices import Notices
-from birchstack.net.operators import Answer, Door, Figures
-from birchstack.net.operators import Calls as Asked
+from birchstack.net.operators import Answer, Metrics, OperatorServer
+from birchstack.net.operators import Handlers as Asked
 from birchstack.net.overflow import Make as MakeStore
 from birchstack.net.overflow import Overflow
-from birchstack.net.recollection import Recollection
+from birchstack.net.recollection import StoredEndpointStates
 from birchstack.net.room import fitted, shares
 from birchstack.net.tally import Tally
 
@@ -55,13 +55,13 @@
         store: MakeStore | None = None,
     ) -> None:
         self._machine = machine or Machine()
-        self._config = config = fitted(config, self._machine.descriptors())
+        self._config = config = fitted(config, self._machine.max_descriptors())
         self._loop, self._began = loop, loop.time()
         folder = self._folder = self._machine.folder(config.state)
-        self._lasting = LastingClock(self._machine, folder)
+        self._lasting = PersistentClock(self._machine, folder)
         self._core = Sender(config.settings, config.seed, self)
         self._holds = folder.lock(LOCK)  # else another process of this sender holds it, and sends
-        self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds else self._machine.unique())
+        self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds else self._machine.unique_name())
         room = shares(config.sockets, config.settings.slots)
         self._calls = Calls(
             loop,
@@ -74,8 +74,8 @@
             self._ended,
         )
         types = {kind.name: kind.expiry_ms for kind in config.settings.types}
-        self._list = Listed(self._calls)
-        self._front = Front(loop, types, room.clients, self._list.serves, self._handed)
+        self._list = EndpointList(self._calls)
+        self._front = Front(loop, types, room.clients, self._list.is_known, self._handed)
         self._watch = Watch(loop, config.discovery, config.kinds, self._listed, self._told)
         self._notices = Notices(loop, config.discovery, self._acknowledged)
         self._inbox: list[tuple] = []  # the events of this pass
@@ -83,7 +83,7 @@
         self._starting: dict[str, Call] = {}  # calls that begin at the end of this turn
         self._connected: list[Call] = []  # calls with their connection: they leave at its end
         self._answers: dict[str, tuple[str, float]] = {}  # by id, for those that come again
-        self._by_hand = ByHand(folder, self._lasting.ms)
+        self._by_hand = AdministrativeStates(folder, self._lasting.ms)
         self._recalled = self._recollection() if self._holds else None
         self._tally = Tally()
         self._reloads = [0, 0]  # configurations taken over, and not taken over
@@ -103,7 +103,7 @@
             lambda: self._drain(False),
             self._audit.asked if self._audit else None,
         )
-        self._door = Door(loop, asked, room.callers) if config.ops else None
+        self._door = OperatorServer(loop, asked, room.callers) if config.ops else None
         self._store, self._overflow = store, None  # documents beyond a window, where operators keep them
         self.ended = loop.create_future()
 
@@ -120,8 +120,8 @@
             self._audit.begins(self._holds)
             self._audit.settings(self._config, "start")
         self._watch.start(self._config.known)
-        await self._watch.first()
-        self._take_up(self._ledger.owed)
+        await self._watch.wait_for_first()
+        self._take_up(self._ledger.entries)
         self._turn()
         await self._front.open(self._machine, self._config.listen)
         self._look_for_overdue()
@@ -130,26 +130,26 @@
             self._look_at_the_link()
         self._ready = True
         self._loop.call_later(LOOK_S, self._look_at_the_folder)
-        say(
+        log_event(
             log,
             "ready",
             name=self._config.name,
-            owed=len(self._ledger.owed) + len(self._overflow or ()),
+            owed=len(self._ledger.entries) + len(self._overflow or ()),
             endpoints=len(self._list.entries),
             holds=self._holds,
         )
 
-    def _take_up(self, found: dict[str, Owed]) -> None:
+    def _take_up(self, found: dict[str, LedgerEntry]) -> None:
         """What the folder owes, found by id, goes to the decisions."""
         now, wall = self.clock(), self._lasting.ms()
         self._remember({doc_id: (TAKEN, 0.0) for doc_id in (*self._ledger.ended, *found)})
         for owed in [*found.values()]:
-            owed.due = now + owed.expiry - wall
+            owed.deadline = now + owed.expiry - wall
             if owed.notice:
-                self._notices.tell(owed.id, *owed.notice)
+                self._notices.queue(owed.id, *owed.notice)
                 continue
             self._inbox.append((self._adopt, owed))
-        if self._store and self._holds and found is self._ledger.owed:
+        if self._store and self._holds and found is self._ledger.entries:
             self._overflow = Overflow(
                 self._store(self._folder, wall),
                 self._ledger,
@@ -160,31 +160,31 @@
                 self._soon,
             )
 
-    def _recollection(self) -> Recollection:
+    def _recollection(self) -> StoredEndpointStates:
         """The folder is this process's now: what it tells of endpoints."""
-        if not self._lasting.kept:
-            self._ledger.begin_recoveries_anew(self._lasting.ms())
-        return Recollection(self._ledger, self._by_hand)
+        if not self._lasting.continued:
+            self._ledger.restart_recoveries(self._lasting.ms())
+        return StoredEndpointStates(self._ledger, self._by_hand)
 
     def _recall(self, listed: Iterable[our.Endpoint]) -> None:
         """Goes to the decisions behind the list that names the endpoints, and before any document."""
-        for recalled in self._recalled.of(self._lasting.ms(), listed):
+        for recalled in self._recalled.pop_listed(self._lasting.ms(), listed):
             if recalled.recovery:
                 self._inbox.append((self._core.recover, recalled.recovery))
             if recalled.wait_ms > 0.0:
                 self._inbox.append((self._core.recall, recalled.endpoint, recalled.wait_ms))
 
-    def _adopt(self, now: float, owed: Owed, tenant: str | None = None) -> None:
+    def _adopt(self, now: float, owed: LedgerEntry, tenant: str | None = None) -> None:
         """What was taken on before goes to the decisions, with its past."""
         wall = self._lasting.ms()
-        owed.due = now + owed.expiry - wall
+        owed.deadline = now + owed.expiry - wall
         self._remember({owed.id: (TAKEN, 0.0)})
         if owed.type not in self._front.types:
             self._owe_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
             return
-        doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
-        past = our.Past(owed.sent, owed.failed, doubt) if owed.found else our.NO_PAST
-        left_ms = owed.due - now
+        doubt = tuple((now + when - wall, zone) for zone, when in owed.in_doubt)
+        past = our.Past(owed.sent, owed.failed, doubt) if owed.recovered else our.NO_PAST
+        left_ms = owed.deadline - now
         given = our.Submission(owed.id, owed.destination, owed.type, left_ms, owed.key, past, tenant)
         self._core.document(now, given)
 
@@ -199,7 +199,7 @@
         if self._closing_at is not None:
             return
         self._loop.call_later(LOOK_S * (LAX if self._holds else 1), self._look_at_the_folder)
-        if self._holds and (found := self._ledger.adopt()):
+        if self._holds and (found := self._ledger.adopt_standby()):
             self._take_up({owed.id: owed for owed in found})
             self._soon()
         if self._holds or not self._folder.lock(LOCK):
@@ -209,17 +209,17 @@
         self._ledger = Ledger(self._folder, self._config.disk_bytes)
         self._core, self._holds = Sender(self._config.settings, self._config.seed, self), True
         self._linked = False  # the decisions begin anew
-        self._by_hand.read()  # the other may have been told more meanwhile
+        self._by_hand.load()  # the other may have been told more meanwhile
         if self._audit:
             self._audit.begins(True)
         for mode, listed in self._unheard:
-            told = [self._by_hand.as_told(entry) for entry in listed]
+            told = [self._by_hand.effective(entry) for entry in listed]
             self._inbox.append((self._core.endpoints, mode, told))
         self._unheard.clear()
         self._recalled = self._recollection()
         self._recall(self._list.entries.values())
-        self._take_up(self._ledger.owed)
-        say(log, "holds the folder", owed=len(self._ledger.owed))
+        self._take_up(self._ledger.entries)
+        log_event(log, "holds the folder", owed=len(self._ledger.entries))
         self._soon()
 
     # Events: gathered, and told in one turn
@@ -242,7 +242,9 @@
     def _listed(self, mode: str, listed: list) -> None:
         self._list.apply(mode, listed)
         if self._holds:
-            self._happened(self._core.endpoints, mode, [self._by_hand.as_told(entry) for entry, _ in listed])
+            self._happened(
+                self._core.endpoints, mode, [self._by_hand.effective(entry) for entry, _ in listed]
+            )
             self._recall(entry for entry, _ in listed)
             return
         if mode != our.CHANGES:  # the decisions will hear of them when this process sends
@@ -255,33 +257,33 @@
 
     def _delivered(self, call: Call) -> None:
         """The first line of an answer says so; the rest of it cannot change that."""
-        owed = self._ledger.owed.get(call.doc)
-        if owed and holds(owed.notice is None, "a document has one end"):
+        owed = self._ledger.entries.get(call.doc)
+        if owed and check_invariant(owed.notice is None, "a document has one end"):
             self._tally.delivered(owed.type)
-            if self.clock() < owed.due - NEAR_MS:
-                self._ledger.done(owed)
+            if self.clock() < owed.deadline - NEAR_MS:
+                self._ledger.finish(owed)
             else:  # where it counts, its time may be up: it ends by a notice
-                self._ledger.notice(owed, "dead", 0.0)  # too, which does no harm if it is over
-                self._notices.tell(owed.id, "dead", 0.0)
+                self._ledger.record_notice(owed, "dead", 0.0)  # too, which does no harm if it is over
+                self._notices.queue(owed.id, "dead", 0.0)
 
     def _ended(self, call: Call, outcome: our.Outcome) -> None:
         if outcome.wait_ms > 0.0:
-            self._ledger.told(call.endpoint, self._lasting.ms() + outcome.wait_ms)
-        owed = self._ledger.owed.get(call.doc)
+            self._ledger.record_wait(call.endpoint, self._lasting.ms() + outcome.wait_ms)
+        owed = self._ledger.entries.get(call.doc)
         if owed and owed.notice is None:  # else it is kept until the platform knows
             if outcome.over:
-                self._ledger.done(owed)
+                self._ledger.finish(owed)
             else:
                 failed = outcome.kind not in (our.FULL, our.UNSENT)
-                self._ledger.back(owed, outcome.kind not in NEVER_RAN, failed)
-        self._ledger.freed(call.destination)
+                self._ledger.record_outcome(owed, outcome.kind not in NEVER_RAN, failed)
+        self._ledger.on_freed(call.destination)
         self._happened(self._core.outcome, call.doc, call.endpoint, outcome)
 
     def _acknowledged(self, ids: list[str]) -> None:
         for doc_id in ids:
-            owed = self._ledger.owed.get(doc_id)
+            owed = self._ledger.entries.get(doc_id)
             if owed:
-                self._ledger.done(owed)
+                self._ledger.finish(owed)
 
     # The turn
 
@@ -310,20 +312,20 @@
             tell(*words)
         except Exception:  # a fault of the decisions must not end what else is owed
             log.exception("a fault of the decisions")
-            return holds(False, "the decisions do not fail")
+            return check_invariant(False, "the decisions do not fail")
         return True
 
     def _look_for_overdue(self) -> None:
         """The last resort: a document that the decisions let pass its expiry is ended all the same."""
         late = self.clock() - OVERDUE_MS
-        overdue = [each for each in self._ledger.owed.values() if each.due < late and not each.notice]
+        overdue = [each for each in self._ledger.entries.values() if each.deadline < late and not each.notice]
         if overdue:
             self._soon()  # after a stall the decisions have their turn first
-        for owed in [each for each in overdue if each.due < self._turned_at - OVERDUE_MS]:
-            holds(owed.out is None, "no transmission lasts beyond the expiry")
+        for owed in [each for each in overdue if each.deadline < self._turned_at - OVERDUE_MS]:
+            check_invariant(owed.in_flight is None, "no transmission lasts beyond the expiry")
             self._owe_notice(owed.id, "dead", 0.0)
             self._happened(self._core.withdrawn, owed.id)
-            holds(False, "a document ends before its expiry")
+            check_invariant(False, "a document ends before its expiry")
         self._loop.call_later(OVERDUE_MS / 2000.0, self._look_for_overdue)
 
     def _take_on(self, now: float, handed: Handed) -> None:
@@ -343,7 +345,9 @@
                 self._answer(handed, *verdict)
             else:
                 self._fresh[handed.id] = handed
-        elif not self._ledger.fits([len(handed.body), *(len(each.body) for each in self._fresh.values())]):
+        elif not self._ledger.has_space(
+            [len(handed.body), *(len(each.body) for each in self._fresh.values())]
+        ):
             self._answer(handed, CLOSED, advice_ms)
         else:
             handed.left_ms -= age
@@ -380,7 +384,7 @@
                 if self._overflow and self._overflow.record(handed, wall):
                     self._answer(handed, TAKEN)
                     continue
-                owed = self._ledger.take(
+                owed = self._ledger.add(
                     handed.id,
                     handed.type,
                     handed.destination,
@@ -390,18 +394,18 @@
                     handed.repeat_key,
                 )
             except OSError as problem:
-                say(log, "not taken on", logging.ERROR, problem=problem)
+                log_event(log, "not taken on", logging.ERROR, problem=problem)
                 self._happened(self._core.withdrawn, handed.id)
                 self._unsent(self._starting.pop(handed.id, None))
                 self._answer(handed, CLOSED, self._config.settings.retry_after_ms)
             else:
-                owed.due = now + handed.left_ms
+                owed.deadline = now + handed.left_ms
                 self._answer(handed, TAKEN)
         starting, self._starting = self._starting, {}
         leaving = []
         for call in starting.values():
-            owed = self._ledger.owed.get(call.doc)
-            if not holds(
+            owed = self._ledger.entries.get(call.doc)
+            if not check_invariant(
                 owed and owed.notice is None and call.endpoint in self._calls.addresses,
                 "only what is owed is sent, and only to what is listed",
             ):
@@ -422,7 +426,7 @@
         Guards against a connection that comes up late: meanwhile a wait may have been told, the endpoint been
         drained, gone or moved, the document ended, or this process told to end. May hurt: the connection is
         closed, and the next call there dials again."""
-        owed = self._ledger.owed.get(call.doc)
+        owed = self._ledger.entries.get(call.doc)
         if not (
             owed
             and owed.notice is None
@@ -432,11 +436,11 @@
         ):
             return False
         try:
-            self._ledger.call(owed, self._list.entries[call.endpoint].zone, self._lasting.ms())
+            self._ledger.record_transmission(owed, self._list.entries[call.endpoint].zone, self._lasting.ms())
         except OSError as problem:
-            say(log, "not sent", logging.ERROR, problem=problem)
+            log_event(log, "not sent", logging.ERROR, problem=problem)
             return False
-        call.patience_ms = min(call.patience_ms, owed.due - now)
+        call.patience_ms = min(call.patience_ms, owed.deadline - now)
         return True
 
     def _unsent(self, call: Call | None) -> None:
@@ -445,14 +449,14 @@
 
     def _report(self) -> None:
         """A line now and then for who looks after it."""
-        say(
+        log_event(
             log,
             "state",
-            owed=len(self._ledger.owed),
+            owed=len(self._ledger.entries),
             out=len(self._calls),
             notices=len(self._notices),
             clients=len(self._front),
-            broken=dict(broken),
+            broken=dict(violations),
             untried=dict(self._tally.untried),
         )
         self._loop.call_later(REPORT_S, self._report)
@@ -460,7 +464,7 @@
     # What the decisions ask for
 
     def transmit(self, doc_id: str, endpoint: str, patience_ms: float) -> None:
-        owed = self._ledger.owed.get(doc_id)
+        owed = self._ledger.entries.get(doc_id)
         number, where = (owed.sent, owed.destination) if owed else (0, -1)
         self._starting[doc_id] = Call(doc_id, number, endpoint, b"", patience_ms, destination=where)
 
@@ -477,19 +481,19 @@
             self._owe_notice(doc_id, "dead", 0.0)
 
     def _owe_notice(self, doc_id: str, result: str, wait_ms: float, why: str = "") -> None:
-        owed = self._ledger.owed.get(doc_id)
-        if holds(owed and owed.notice is None, "a document has one end"):
-            if owed.found and not owed.sent:  # a restart found it, and nothing tried it
+        owed = self._ledger.entries.get(doc_id)
+        if check_invariant(owed and owed.notice is None, "a document has one end"):
+            if owed.recovered and not owed.sent:  # a restart found it, and nothing tried it
                 why = why or (
                     "its time, or a told wait"
-                    if self._list.ready(owed.destination)
+                    if self._list.has_ready(owed.destination)
                     else "no endpoint is ready"
                 )
                 self._tally.untried[why] += 1
-                say(log, "given up with no call", logging.WARNING, doc=doc_id, reason=why)
+                log_event(log, "given up with no call", logging.WARNING, doc=doc_id, reason=why)
             self._tally.undelivered(owed.id, owed.type, result == "dead")
-            self._ledger.notice(owed, result, wait_ms)
-            self._notices.tell(doc_id, result, wait_ms)
+            self._ledger.record_notice(owed, result, wait_ms)
+            self._notices.queue(doc_id, result, wait_ms)
 
     def close_idle(self, endpoint: str) -> None:
         self._calls.close_idle(endpoint)
@@ -514,10 +518,10 @@
         self._audit.observed(endpoint, kind, wait_ms)
 
     def remember(self, recovery: our.Recovery) -> None:
-        self._ledger.remember(self._lasting.ms(), recovery)
+        self._ledger.record_recovery(self._lasting.ms(), recovery)
 
     def log(self, text: str) -> None:
-        say(log, text)
+        log_event(log, text)
 
     # Signals of other senders
 
@@ -527,7 +531,7 @@
         self._link()
         for report in reports:
             if report.wait_ms > 0.0:  # kept over a restart, as one that was told here
-                self._ledger.told(report.endpoint, self._lasting.ms() + report.wait_ms)
+                self._ledger.record_wait(report.endpoint, self._lasting.ms() + report.wait_ms)
             self._happened(self._core.reported, report)
 
     def _look_at_the_link(self) -> None:
@@ -539,7 +543,7 @@
         live = bool(self._audit.linked())
         if live != self._linked and self._holds:
             self._linked = live
-            say(log, "signals of other senders come" if live else "no signals of other senders come")
+            log_event(log, "signals of other senders come" if live else "no signals of other senders come")
             self._happened(self._core.linked, live)
 
     # What operators ask: carried out here, and only reported
@@ -550,15 +554,15 @@
         return Answer(True, "ready") if self._ready else Answer(False, "starting", 503)
 
     def _status(self) -> SenderStatus:
-        return SenderStatus(self._ready_now().yes, len(self._ledger.owed), self._watch.silent_ms())
+        return SenderStatus(self._ready_now().ok, len(self._ledger.entries), self._watch.silent_ms())
 
-    def _figures(self) -> Figures:
-        out = self._by_hand.out
+    def _figures(self) -> Metrics:
+        out = self._by_hand.disabled
         avoided = sum(name in self._list.entries for name in out) + sum(
             name not in out for name in self._core.avoided()
         )
-        held = len(self._overflow or ()) + sum(owed.notice is None for owed in self._ledger.owed.values())
-        return Figures(
+        held = len(self._overflow or ()) + sum(owed.notice is None for owed in self._ledger.entries.values())
+        return Metrics(
             self._tally.by_type(kind.name for kind in self._config.settings.types),
             self._calls.transmitted,
             held,
@@ -570,9 +574,9 @@
 
     def _by_hand_now(self, endpoint: str, out: bool) -> Answer:
         entry = self._list.entries.get(endpoint)
-        answer = self._by_hand.set(endpoint, out, entry is not None)
-        if answer.yes and entry and self._holds:
-            self._happened(self._core.endpoints, our.CHANGES, [self._by_hand.as_told(entry)])
+        answer = self._by_hand.set_disabled(endpoint, out, entry is not None)
+        if answer.ok and entry and self._holds:
+            self._happened(self._core.endpoints, our.CHANGES, [self._by_hand.effective(entry)])
         return answer
 
     def _drain(self, drained: bool) -> Answer:
@@ -586,25 +590,25 @@
         """SIGHUP: takes over the settings and where discovery is now, or nothing. Documents held, calls out,
         ids, connections and what was told and learnt stay; what shrinks holds for what comes next."""
         try:
-            fresh = fitted(load(again=True), self._machine.descriptors())
+            fresh = fitted(load(reloading=True), self._machine.max_descriptors())
             self._turn()  # what came before is taken on under the old settings
-            held = {owed.type for owed in self._ledger.owed.values() if owed.notice is None}
-            fits(fresh, self._config, held, self._list.last_kind())
+            held = {owed.type for owed in self._ledger.entries.values() if owed.notice is None}
+            check_applicable(fresh, self._config, held, self._list.highest_kind())
         except ConfigError as problem:
-            say(log, "configuration not taken over", logging.ERROR, problem=problem)
+            log_event(log, "configuration not taken over", logging.ERROR, problem=problem)
             self._reloads[1] += 1
             return
         self._reloads[0] += 1
-        self._config, changed, waits = take_over(fresh, self._config)
+        self._config, changed, waits = apply_reload(fresh, self._config)
         self._front.types = {kind.name: kind.expiry_ms for kind in fresh.settings.types}
         self._calls.idle_ms, self._calls.dial_ms = fresh.idle_ms, fresh.dial_ms
         if self._audit:
             self._audit.settings(self._config, "reload")
         if changed:
             self._happened(self._core.adopt, fresh.settings)
-        self._watch.move(fresh.discovery, fresh.kinds)
-        self._notices.move(fresh.discovery)
-        say(
+        self._watch.reconfigure(fresh.discovery, fresh.kinds)
+        self._notices.set_address(fresh.discovery)
+        log_event(
             log,
             "configuration taken over",
             discovery="{}:{}".format(*fresh.discovery),
@@ -617,8 +621,8 @@
         if self._closing_at is not None:
             return
         self._closing_at = self._loop.time()
-        self._handing = self._holds and self._ledger.awaited()
-        say(log, "closing", owed=len(self._ledger.owed), out=len(self._calls), handing=self._handing)
+        self._handing = self._holds and self._ledger.has_standby()
+        log_event(log, "closing", owed=len(self._ledger.entries), out=len(self._calls), handing=self._handing)
         self._front.close()
         self._loop.call_later(0.0 if self._handing else LISTEN_S, self._front.shut)
         self._loop.call_later(0.0 if self._handing else LISTEN_S, self._maybe_over)
@@ -630,17 +634,17 @@
             busy = len(self._calls) or len(self._front)
         else:
             busy = self._front.busy() or (
-                self._ledger.owed if past < CALL_S else len(self._calls) or len(self._notices)
+                self._ledger.entries if past < CALL_S else len(self._calls) or len(self._notices)
             )
         if busy and past < END_S:
             self._loop.call_later(0.05, self._maybe_over)
             return
-        say(
+        log_event(
             log,
             "closed",
-            owed=len(self._ledger.owed),
+            owed=len(self._ledger.entries),
             out=len(self._calls),
-            broken=dict(broken),
+            broken=dict(violations),
             untried=dict(self._tally.untried),
         )
         self._watch.stop()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -140,7 +140,7 @@
 
 @mutant("notices are forgotten")
 def _(patch):
-    patch.set(notices.Notices, "tell", never)
+    patch.set(notices.Notices, "queue", never)
 
 
 @mutant("the expiry is ignored")
@@ -179,9 +179,9 @@
 @mutant("the ledger does not note calls")
 def _(patch):
     def call(self, owed, zone, when):
-        owed.sent, owed.out = owed.sent + 1, (zone, when)
+        owed.sent, owed.in_flight = owed.sent + 1, (zone, when)
 
-    patch.set(ledger.Ledger, "call", call)
+    patch.set(ledger.Ledger, "record_transmission", call)
 
 
 @mutant("a restart forgets every second document")
@@ -190,8 +190,8 @@
 
     def recover(self):
         old(self)
-        for doc_id in [*self.owed][::2]:
-            del self.owed[doc_id]
+        for doc_id in [*self.entries][::2]:
+            del self.entries[doc_id]
 
     patch.set(ledger.Ledger, "_recover", recover)
 
@@ -202,8 +202,8 @@
 
     def recover(self):
         old(self)
-        for owed in self.owed.values():
-            owed.doubt, owed.out = [], None
+        for owed in self.entries.values():
+            owed.in_doubt, owed.in_flight = [], None
 
     patch.set(ledger.Ledger, "_recover", recover)
 
@@ -334,7 +334,7 @@
 
     def owe(self, doc_id, result, wait_ms):
         old(self, doc_id, result, wait_ms)
-        self._loop.call_later(1.0, self._notices.tell, doc_id, "dead", 0.0)
+        self._loop.call_later(1.0, self._notices.queue, doc_id, "dead", 0.0)
 
     patch.set(sender.Node, "_owe_notice", owe)
 
@@ -346,21 +346,23 @@
 
 @mutant("what the full disk did not take is taken on all the same", DAY, ("disk_full", "kill", "vanish"))
 def _(patch):
-    old, call = ledger.Ledger.take, ledger.Ledger.call
+    old, call = ledger.Ledger.add, ledger.Ledger.record_transmission
 
     def take(self, doc_id, kind, destination, key, expiry, body, repeat_key=None):
         try:
             return old(self, doc_id, kind, destination, key, expiry, body, repeat_key)
         except OSError:
-            self.owed[doc_id] = ledger.Owed(doc_id, kind, destination, key, expiry, 0, 0, repeat_key, body)
-            return self.owed[doc_id]
+            self.entries[doc_id] = ledger.LedgerEntry(
+                doc_id, kind, destination, key, expiry, 0, 0, repeat_key, body
+            )
+            return self.entries[doc_id]
 
     def note_call(self, owed, zone, when):
         with contextlib.suppress(OSError):
             call(self, owed, zone, when)
 
-    patch.set(ledger.Ledger, "take", take)
-    patch.set(ledger.Ledger, "call", note_call)
+    patch.set(ledger.Ledger, "add", take)
+    patch.set(ledger.Ledger, "record_transmission", note_call)
 
 
 def hunt(name, seeds):
--- a/tests/test_backlog_crash.py
+++ b/tests/test_backlog_crash.py
@@ -200,7 +200,7 @@
     assert len(store) == 120 and store.waiting(1) == (40, 1.0)
     found = drained(store)
     assert len(found) == 119 == len({*found}) and store.lost == 1 and not len(store)
-    assert [each.words["after"] for each in caplog.records if each.msg == "documents lost"] == [name]
+    assert [each.fields["after"] for each in caplog.records if each.msg == "documents lost"] == [name]
     for destination in range(3):
         mine = [int(each[1:]) for each in found if int(each[1:]) % 3 == destination]
         assert mine == sorted(mine)
--- a/tests/test_capacity_fleet.py
+++ b/tests/test_capacity_fleet.py
@@ -16,7 +16,7 @@
 from birchstack.decide import REPEAT_SHARE
 from birchstack.emulator.rig import site
 from birchstack.emulator.rig.processes import Process, shell, until
-from birchstack.net.discovery import MOST_LIST
+from birchstack.net.discovery import MAX_LIST_BYTES
 from tests import fake
 
 CHANGES = 5
@@ -168,7 +168,7 @@
     """The bound of 4 MiB an object is met near 24,500 endpoints of 170 bytes. Whoever lengthens the bound has
     to say here how far it reaches."""
     sizes = {listed: len(ListService(listed).whole()) for listed in (12_000, 24_000, 25_000, 36_000)}
-    assert sizes[24_000] <= MOST_LIST < sizes[25_000] < sizes[36_000]
+    assert sizes[24_000] <= MAX_LIST_BYTES < sizes[25_000] < sizes[36_000]
     assert sizes[24_000] == pytest.approx(2 * sizes[12_000], rel=0.01)
     assert 165.0 < sizes[36_000] / 36_000 < 175.0
 
--- a/tests/test_capacity_sender.py
+++ b/tests/test_capacity_sender.py
@@ -10,7 +10,7 @@
 
 from benchmarks.capacity import fit, listed, owed, recoveries, spread, stand, turn, work
 from birchstack.net import recoveries as kept
-from birchstack.net.discovery import MOST_LIST
+from birchstack.net.discovery import MAX_LIST_BYTES
 
 FILL, HOPELESS, SPARES = "decide.py Sender._fill", "decide.py Sender._hopeless", "decide.py Sender._spares"
 LOOK, END = "decide.py Sender._look", "decide.py Sender._end"
@@ -68,8 +68,8 @@
     "list": {
         "node: a list read": {
             "net/discovery.py Watch.received": 2,
-            "net/discovery.py entries": 1,
-            "net/listed.py Listed.apply": 1,
+            "net/discovery.py decode_targets": 1,
+            "net/listed.py EndpointList.apply": 1,
             "net/sender.py Node._listed": 1,
         }
     },
@@ -87,7 +87,7 @@
 def test_the_cost_of_remembering_what_is_down_fits_the_room_kept_for_it():
     for down, measured in recoveries.measure(recoveries.SMALL):
         assert set(measured) == set(recoveries.FIGURES)
-        assert 0 < measured["written anew"] <= measured["disk"] <= down * kept.LINE
+        assert 0 < measured["written anew"] <= measured["disk"] <= down * kept.RECORD_BYTES
 
 
 def test_work_is_counted_the_same_each_time():
@@ -139,7 +139,7 @@
 
     targets = stand.whole_list(36_000, 1, ["127.0.7.1:23000"])
     one = stand.in_parts(targets, len(targets))
-    assert 150.0 < len(one[0]) / len(targets) < 165.0 and len(one[0]) > MOST_LIST
+    assert 150.0 < len(one[0]) / len(targets) < 165.0 and len(one[0]) > MAX_LIST_BYTES
     assert heard(one) == 0 and heard(stand.in_parts(targets)) == len(targets)
 
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -47,7 +47,7 @@
             assert (await world.operator("GET", "/ready"))[0] == 200
 
     asyncio.run(whole())
-    assert set(made) == {"Client", "Line", "Watch", "Notices", "Caller"}
+    assert set(made) == {"Client", "Line", "Watch", "Notices", "OperatorConnection"}
     assert all(all(each) for each in made.values())
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -183,7 +183,7 @@
         await until(lambda: heard)
         assert len(asked) == 2
 
-    watched(story, said, monkeypatch, BEAT_S=0.1, ANSWER_S=0.2)
+    watched(story, said, monkeypatch, HEARTBEAT_S=0.1, RESPONSE_TIMEOUT_S=0.2)
 
 
 def test_what_came_whole_before_a_watch_ended_counts():
@@ -318,7 +318,7 @@
         notices = Notices(loop, server.sockets[0].getsockname(), known.extend)
         async with asyncio.timeout(8.0):
             await story(notices, posts, known)
-        notices._hang_up()
+        notices._disconnect()
         server.close()
 
     asyncio.run(whole())
@@ -326,9 +326,9 @@
 
 def test_a_notice_whose_connection_fell_silent_is_told_again_in_its_time():
     async def story(notices, posts, known):
-        notices.tell("d0", "dead", 0.0)
+        notices.queue("d0", "dead", 0.0)
         await until(lambda: known == ["d0"])
-        notices.tell("d1", "dead", 0.0)  # on the connection that says nothing any more
+        notices.queue("d1", "dead", 0.0)  # on the connection that says nothing any more
         await until(lambda: known == ["d0", "d1"])
         assert len(posts) == 3 and posts[2][0] - posts[1][0] < 0.25  # of the 300 ms that it has
         assert notices._answer_timeout_s < 0.2  # and a platform that answers again is waited for as before
@@ -338,8 +338,8 @@
 
 def test_an_answer_that_nobody_asked_for_acknowledges_no_later_notice():
     async def story(notices, posts, known):
-        notices.tell("d0", "dead", 0.0)
-        notices.tell("d1", "dead", 0.0)  # waits for the answer to the first
+        notices.queue("d0", "dead", 0.0)
+        notices.queue("d1", "dead", 0.0)  # waits for the answer to the first
         await until(lambda: len(posts) == 2)
         assert known == ["d0"]
         await until(lambda: known == ["d0", "d1"])
@@ -377,7 +377,7 @@
         async with Within(tmp_path / "state") as world:
             assert (await world.hand_in("d1"))[0] == 202
             assert await world.until(lambda: '["done","d1"' in world.on_disk())
-            assert world.notices == notices and len(world.calls) == 1 and not world.node._ledger.owed
+            assert world.notices == notices and len(world.calls) == 1 and not world.node._ledger.entries
 
     monkeypatch.setattr(sender, "NEAR_MS", near_ms)
     asyncio.run(whole())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,7 +11,7 @@
 import pytest
 from fake import OK_200, answer, play, post, read_message
 
-from birchstack.net.machine import PAUSE_S, Listener
+from birchstack.net.machine import ACCEPT_PAUSE_S, Listener
 from birchstack.net.room import RESERVE, shares
 
 LIMIT = 100
@@ -178,7 +178,7 @@
                 loop, door, lambda: came.append(1) or asyncio.Protocol(), 2, lambda: told.append(1)
             )
             clients = [socket.create_connection(door.getsockname()) for _ in range(9)]
-            await asyncio.sleep(4.5 * PAUSE_S)
+            await asyncio.sleep(4.5 * ACCEPT_PAUSE_S)
             assert 1 <= door.tried == len(told) <= 5 and not came
             door.none = False
             async with asyncio.timeout(2.0):
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from birchstack.net.machine import ANCHOR, Folder, LastingClock, Machine
+from birchstack.net.machine import CLOCK_FILE, Folder, Machine, PersistentClock
 
 
 class Stepped(Machine):
@@ -15,23 +15,23 @@
     def steady_ms(self):
         return self._told[1]
 
-    def boot(self):
+    def boot_id(self):
         return self._told[2]
 
 
 @pytest.mark.parametrize("wall", [1_000.0, 990_000.0, 9_000_000.0])
 def test_a_step_of_the_wall_clock_between_two_processes_moves_nothing(tmp_path, wall):
-    assert LastingClock(Stepped(1_000_000.0, 5_000.0), Folder(str(tmp_path))).ms() == 1_000_000.0
-    assert LastingClock(Stepped(wall, 7_000.0), Folder(str(tmp_path))).ms() == 1_002_000.0
+    assert PersistentClock(Stepped(1_000_000.0, 5_000.0), Folder(str(tmp_path))).ms() == 1_000_000.0
+    assert PersistentClock(Stepped(wall, 7_000.0), Folder(str(tmp_path))).ms() == 1_002_000.0
 
 
 @pytest.mark.parametrize("boot", ["b2", ""])
 def test_after_the_machine_started_anew_the_wall_clock_counts(tmp_path, boot):
-    LastingClock(Stepped(1_000_000.0, 5_000.0), Folder(str(tmp_path)))
-    assert LastingClock(Stepped(1_060_000.0, 30.0, boot), Folder(str(tmp_path))).ms() == 1_060_000.0
+    PersistentClock(Stepped(1_000_000.0, 5_000.0), Folder(str(tmp_path)))
+    assert PersistentClock(Stepped(1_060_000.0, 30.0, boot), Folder(str(tmp_path))).ms() == 1_060_000.0
 
 
 def test_an_anchor_cut_off_is_written_anew(tmp_path):
-    (tmp_path / ANCHOR).write_bytes(b"b1 12\xff")
-    assert LastingClock(Stepped(1_000_000.0, 5_000.0), Folder(str(tmp_path))).ms() == 1_000_000.0
-    assert LastingClock(Stepped(1.0, 6_000.0), Folder(str(tmp_path))).ms() == 1_001_000.0
+    (tmp_path / CLOCK_FILE).write_bytes(b"b1 12\xff")
+    assert PersistentClock(Stepped(1_000_000.0, 5_000.0), Folder(str(tmp_path))).ms() == 1_000_000.0
+    assert PersistentClock(Stepped(1.0, 6_000.0), Folder(str(tmp_path))).ms() == 1_001_000.0
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -33,7 +33,9 @@
 def node(tmp_path, monkeypatch):
     """A sender whose door is not open yet; what does not hold is only written down, as in release."""
     broken = []
-    monkeypatch.setattr(module, "holds", lambda what, text: bool(what) or broken.append(text) or False)
+    monkeypatch.setattr(
+        module, "check_invariant", lambda what, text: bool(what) or broken.append(text) or False
+    )
 
     async def make():
         node = module.Node(decode(config(tmp_path), {}), asyncio.get_running_loop())
@@ -57,7 +59,7 @@
         node._turn()
         node._report()
         assert handed.said == [(TAKEN, 0.0)] and gone.said == [(CLOSED, 0.0)]
-        assert [*node._ledger.owed] == ["d"] and handed.left_ms == 4960.0
+        assert [*node._ledger.entries] == ["d"] and handed.left_ms == 4960.0
 
     node.run(story)
 
@@ -68,7 +70,7 @@
         handed = Handed()
         node._inbox.append((node._take_on, handed))
         node._turn()
-        assert handed.said == [(CLOSED, 3000.0)] and not node._ledger.owed and node.broken
+        assert handed.said == [(CLOSED, 3000.0)] and not node._ledger.entries and node.broken
 
     node.run(story)
 
@@ -80,17 +82,17 @@
         node._core.turn = fault
         time.sleep(0.5)  # the process stands still
         node._look_for_overdue()
-        assert node._ledger.owed["d"].notice is None  # the decisions have had no turn since
+        assert node._ledger.entries["d"].notice is None  # the decisions have had no turn since
         node._turn()
         node._look_for_overdue()
-        assert node._ledger.owed["d"].notice == ("dead", 0.0) and node.broken
+        assert node._ledger.entries["d"].notice == ("dead", 0.0) and node.broken
 
     node.run(story)
 
 
 def test_a_ledger_that_cannot_be_written_takes_nothing_on_and_sends_nothing(node, monkeypatch):
     async def story():
-        monkeypatch.setattr(node._ledger, "take", lambda *words: (_ for _ in ()).throw(OSError("full")))
+        monkeypatch.setattr(node._ledger, "add", lambda *words: (_ for _ in ()).throw(OSError("full")))
         handed = Handed()
         node._inbox.append((node._take_on, handed))
         node._turn()
@@ -115,7 +117,7 @@
             node._turn()
         assert [*node._calls.addresses] == [*node._list.entries] == [*node._core._endpoints] == ["e5999"]
         assert len(node._list._destinations) <= 4096 and len(node._core._destinations) < 100
-        assert node._list.serves(5999) and not node._list.serves(70000)
+        assert node._list.is_known(5999) and not node._list.is_known(70000)
 
     node.run(story)
 
@@ -127,10 +129,10 @@
             node._inbox.append((node._take_on, handed))
             node._turn()
             node._happened(node._core.withdrawn, handed.id)
-            if handed.id in node._ledger.owed:
-                node._ledger.done(node._ledger.owed[handed.id])
+            if handed.id in node._ledger.entries:
+                node._ledger.finish(node._ledger.entries[handed.id])
         node._turn()
-        assert len(node._answers) <= 4096 and not node._ledger.owed and not node._core._held
+        assert len(node._answers) <= 4096 and not node._ledger.entries and not node._core._held
         assert len(node._core._ends) < 5000 and not node._fresh and not node._starting
 
     node.run(story)
@@ -154,12 +156,12 @@
         kind = our.DocumentType("order", our.NUMBERED, 2000.0, 20000.0, 1.0, 0.4, False, window, False)
         node._core.adopt(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
         node._front.types["order"], wall = 20000.0, node._lasting.ms()
-        owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
-        node._ledger.call(owed, "a", wall - 700.0)  # out when its process ended
+        owed = node._ledger.add("d", "order", 1, None, wall + 9000.0, b"x")
+        node._ledger.record_transmission(owed, "a", wall - 700.0)  # out when its process ended
         node._ledger.close()
         node._ledger = Ledger(node._folder, 3_000_000)
         node._listed(our.WHOLE, [listed("e1", our.READY, 9)])
-        node._take_up(node._ledger.owed)
+        node._take_up(node._ledger.entries)
         turn, gone = node._core.turn, []
         node._core.turn = lambda now: (turn(now), time.sleep(0.4))  # many documents, little processor
         node._calls.begin = node._calls.waiting = lambda call: True
@@ -188,6 +190,6 @@
         node._inbox.append((node._take_on, Handed(left_ms=5040.0)))
         node._turn()
         assert steady == 5_000_400.0
-        assert node._ledger.owed["d"].expiry == pytest.approx(began + 5000.0, rel=0.0, abs=0.001)
+        assert node._ledger.entries["d"].expiry == pytest.approx(began + 5000.0, rel=0.0, abs=0.001)
 
     node.run(story)
--- a/tests/test_recoveries.py
+++ b/tests/test_recoveries.py
@@ -13,8 +13,8 @@
 from birchstack.net import recoveries
 from birchstack.net.config import decode
 from birchstack.net.ledger import COMPACT_MIN_BYTES, Ledger
-from birchstack.net.machine import ANCHOR, Folder, LastingClock, Machine
-from birchstack.net.recoveries import Recoveries
+from birchstack.net.machine import CLOCK_FILE, Folder, Machine, PersistentClock
+from birchstack.net.recoveries import RecoveryRecords
 from birchstack.net.sender import Node
 
 DOWN, WARMING, WARM = RecoveryStage
@@ -27,40 +27,40 @@
 
 def known(disk, now, endpoint="s-1"):
     """As the next process reads it."""
-    return ledger_on(disk).recoveries.of(now, endpoint)
+    return ledger_on(disk).recoveries.get(now, endpoint)
 
 
 def test_the_newest_stage_is_found_again_with_its_age_and_the_usual_rate():
     disk = Disk()
     ledger = ledger_on(disk)
-    ledger.remember(1000.0, Recovery("s-1", DOWN, 100.0, 40, 9000.0))
-    ledger.remember(1000.0, Recovery("s-2", DOWN, 0.0, 1, 8000.0))
+    ledger.record_recovery(1000.0, Recovery("s-1", DOWN, 100.0, 40, 9000.0))
+    ledger.record_recovery(1000.0, Recovery("s-2", DOWN, 0.0, 1, 8000.0))
     assert known(disk, 1500.0) == Recovery("s-1", DOWN, 600.0, 40, 9000.0)
-    ledger.remember(2000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
+    ledger.record_recovery(2000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
     for _ in range(2):  # the second time from what was written anew
         assert known(disk, 2700.0) == Recovery("s-1", WARMING, 700.0, 50, 10000.0)
         assert known(disk, 2700.0, "s-2").stage == DOWN
         ledger.compact()
-    ledger.remember(9000.0, Recovery("s-1", WARM))
+    ledger.record_recovery(9000.0, Recovery("s-1", WARM))
     assert known(disk, 9000.0) is None and known(disk, 9000.0, "s-2")
 
 
 def test_a_folder_of_the_version_before_reads_as_it_did():
     disk = Disk()
     ledger = ledger_on(disk)
-    ledger.take("d", "sync", 1, None, 9000.0, b"body")
-    ledger.told("s-1", 5000.0)
+    ledger.add("d", "sync", 1, None, 9000.0, b"body")
+    ledger.record_wait("s-1", 5000.0)
     again = ledger_on(disk)
-    assert [*again.owed] == ["d"] and again.waits == {"s-1": 5000.0} and not len(again.recoveries)
+    assert [*again.entries] == ["d"] and again.waits == {"s-1": 5000.0} and not len(again.recoveries)
 
 
 def test_a_record_that_is_read_by_no_one_harms_no_document():
     disk = Disk()
     ledger = ledger_on(disk)
-    ledger.take("d", "sync", 1, None, 9000.0, b"body")
-    ledger.remember(0.0, Recovery("d", DOWN))  # an endpoint may be called as a document is
-    ledger.remember(0.0, Recovery("d", WARM))
-    assert [*ledger_on(disk).owed] == ["d"]
+    ledger.add("d", "sync", 1, None, 9000.0, b"body")
+    ledger.record_recovery(0.0, Recovery("d", DOWN))  # an endpoint may be called as a document is
+    ledger.record_recovery(0.0, Recovery("d", WARM))
+    assert [*ledger_on(disk).entries] == ["d"]
 
 
 RECORD = 45  # bytes of the last record in the two tests that follow
@@ -70,10 +70,10 @@
 def test_a_torn_end_falls_back_to_the_careful_side_and_loses_nothing_else(cut):
     disk = Disk()
     ledger = ledger_on(disk)
-    ledger.take("d", "sync", 1, None, 9000.0, b"body")
-    ledger.remember(1000.0, Recovery("s-1", DOWN, 0.0, 40, 9000.0))
+    ledger.add("d", "sync", 1, None, 9000.0, b"body")
+    ledger.record_recovery(1000.0, Recovery("s-1", DOWN, 0.0, 40, 9000.0))
     whole = len(disk.files["ledger"])
-    ledger.remember(2000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
+    ledger.record_recovery(2000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
     assert len(disk.files["ledger"]) == whole + RECORD
     del disk.files["ledger"][whole + RECORD - cut :]
     found = known(disk, 5000.0)
@@ -83,7 +83,7 @@
         assert found.age_ms == 0.0 and found.span_ms == 0.0
     else:  # not even the name could be read
         assert found == Recovery("s-1", DOWN, 4000.0, 40, 9000.0)
-    assert [*ledger_on(disk).owed] == ["d"]
+    assert [*ledger_on(disk).entries] == ["d"]
 
 
 @pytest.mark.parametrize(("cut", "stage"), [(1, DOWN), (15, DOWN), (19, DOWN), (20, None), (40, None)])
@@ -100,9 +100,9 @@
 def test_rot_in_a_record_never_makes_a_cold_endpoint_warm(at):
     disk = Disk()
     ledger = ledger_on(disk)
-    ledger.remember(1000.0, Recovery("s-1", DOWN, 0.0, 40, 9000.0))
+    ledger.record_recovery(1000.0, Recovery("s-1", DOWN, 0.0, 40, 9000.0))
     whole = len(disk.files["ledger"])
-    ledger.remember(2000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
+    ledger.record_recovery(2000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
     disk.files["ledger"][whole + at] ^= 0x08
     found = known(disk, 60_000.0)
     if at == 9:  # the space behind the sum says nothing: the record is whole
@@ -110,44 +110,44 @@
     else:
         assert found.stage == DOWN or found.age_ms == 0.0
     later = ledger_on(disk)
-    later.take("d", "sync", 1, None, 9000.0, b"body")
-    assert [*ledger_on(disk).owed] == ["d"], "what is written behind it can be read"
+    later.add("d", "sync", 1, None, 9000.0, b"body")
+    assert [*ledger_on(disk).entries] == ["d"], "what is written behind it can be read"
 
 
 def test_what_a_full_disk_did_not_take_is_written_once_there_is_room(monkeypatch):
     disk, said = Disk(), []
-    monkeypatch.setattr(ledger_module, "say", lambda log, event, *level, **words: said.append(event))
+    monkeypatch.setattr(ledger_module, "log_event", lambda log, event, *level, **words: said.append(event))
     ledger = ledger_on(disk)
-    owed = [ledger.take(doc, "sync", 1, None, 9000.0, b"") for doc in "ab"]
+    owed = [ledger.add(doc, "sync", 1, None, 9000.0, b"") for doc in "ab"]
     disk.files["ledger"].extend(b"\n" * (-len(disk.files["ledger"]) % 512))  # no room left in its last block
     disk.full = True
-    ledger.remember(1000.0, Recovery("s-1", DOWN, 0.0, 40, 9000.0))
+    ledger.record_recovery(1000.0, Recovery("s-1", DOWN, 0.0, 40, 9000.0))
     assert said == ["recovery not noted"] and known(disk, 1000.0) is None
     disk.full = False
-    ledger.done(owed[0])
+    ledger.finish(owed[0])
     assert known(disk, 1000.0).stage == DOWN
-    ledger.remember(2000.0, Recovery("s-1", WARM))
-    ledger.done(owed[1])
+    ledger.record_recovery(2000.0, Recovery("s-1", WARM))
+    ledger.finish(owed[1])
     assert known(disk, 2000.0) is None
 
 
 @pytest.mark.parametrize("clock", ["kept", "lost", "of another run"])
 def test_where_no_clock_tells_their_age_ramps_begin_again_for_the_next_process_too(tmp_path, clock):
-    now = LastingClock(Machine(), Folder(str(tmp_path))).ms()
+    now = PersistentClock(Machine(), Folder(str(tmp_path))).ms()
     ledger = Ledger(Folder(str(tmp_path)), ROOM)
-    ledger.remember(now - 5000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
+    ledger.record_recovery(now - 5000.0, Recovery("s-1", WARMING, 0.0, 50, 10000.0))
     ledger.close()
     if clock == "lost":
-        (tmp_path / ANCHOR).unlink()
+        (tmp_path / CLOCK_FILE).unlink()
     elif clock == "of another run":
-        (tmp_path / ANCHOR).write_text("another-run 12345.0\n")
+        (tmp_path / CLOCK_FILE).write_text("another-run 12345.0\n")
 
     async def make():
         return Node(decode(config(tmp_path), {}), asyncio.get_running_loop())
 
     for _ in range(2):
         node = asyncio.run(make())
-        found = node._ledger.recoveries.of(node._lasting.ms(), "s-1")
+        found = node._ledger.recoveries.get(node._lasting.ms(), "s-1")
         node._ledger.close()
         node._folder.unlock("lock")
         assert (found.age_ms >= 5000.0) == (clock == "kept") and found.age_ms < 9000.0
@@ -158,23 +158,23 @@
     disk, limit = Disk(), 1_000_000
     ledger = Ledger(MemoryFolder(disk), limit)
     for number in range(2000):  # more than are kept
-        ledger.remember(0.0, Recovery(f"s-{'x' * 70}-{number}", DOWN, 0.0, 123_456, 86_400_000.0))
+        ledger.record_recovery(0.0, Recovery(f"s-{'x' * 70}-{number}", DOWN, 0.0, 123_456, 86_400_000.0))
     ledger.compact()
     number = 0
-    while ledger.fits([60_000]):
+    while ledger.has_space([60_000]):
         number += 1
-        ledger.take(f"d{number}", "sync", 1, None, 9000.0, b"x" * 60_000)
+        ledger.add(f"d{number}", "sync", 1, None, 9000.0, b"x" * 60_000)
     assert number > 5
     disk.limit = limit
     assert ledger.compact(), "the old file and the new one fit"
 
 
 def test_records_are_bounded_by_the_room_and_keep_the_newest():
-    few = Recoveries(10 * recoveries.PART * recoveries.LINE)
+    few = RecoveryRecords(10 * recoveries.SPACE_DIVISOR * recoveries.RECORD_BYTES)
     for number in range(25):
-        few.keep(0.0, Recovery(f"s-{number}", DOWN))
-    few.keep(0.0, Recovery("s-15", WARMING))  # changed last
-    few.keep(0.0, Recovery("s-25", DOWN))
+        few.update(0.0, Recovery(f"s-{number}", DOWN))
+    few.update(0.0, Recovery("s-15", WARMING))  # changed last
+    few.update(0.0, Recovery("s-25", DOWN))
     assert len(few) == 10 and [*few][-2:] == ["s-15", "s-25"] and "s-16" not in [*few]
 
 
@@ -182,12 +182,12 @@
     disk = Disk()
     ledger = Ledger(MemoryFolder(disk), 64_000_000)
     for number in range(3000):
-        ledger.remember(0.0, Recovery(f"endpoint-of-a-long-name-{number}", DOWN, 0.0, 40, 9000.0))
+        ledger.record_recovery(0.0, Recovery(f"endpoint-of-a-long-name-{number}", DOWN, 0.0, 40, 9000.0))
     ledger.compact()
     assert len(disk.files["ledger"]) > COMPACT_MIN_BYTES
     writes = disk.writes
     for number in range(100):
-        ledger.done(ledger.take(f"d{number}", "sync", 1, None, 9000.0, b""))
+        ledger.finish(ledger.add(f"d{number}", "sync", 1, None, 9000.0, b""))
     assert disk.writes - writes == 200, "a line for each, and nothing else"
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,7 +9,7 @@
 from birchstack.net import log
 from birchstack.net.calls import kind_of, report_of
 from birchstack.net.config import ConfigError, decode, load
-from birchstack.net.discovery import entries
+from birchstack.net.discovery import decode_targets
 from birchstack.net.http1 import Response
 
 
@@ -140,21 +140,21 @@
         "capacity_hint": 1.0,
         "boot_ms": 0,
     }
-    ((entry, where),) = entries([line], ("m1", "m2"))
+    ((entry, where),) = decode_targets([line], ("m1", "m2"))
     assert (entry.name, entry.destination, entry.kind, entry.state) == ("s-1", 3, 1, "draining")
     assert where == ("10.1.0.18", 5000)
 
 
 def test_lines_of_the_log_are_key_value_and_quoted():
     record = logging.LogRecord("birchstack.net.calls", logging.INFO, "", 0, 'a "b"', (), None)
-    record.words = {"doc": "d=1", "ms": 1.25, "n": 3, "line": "x\ny"}
-    line = log.KeyValue().format(record)
+    record.fields = {"doc": "d=1", "ms": 1.25, "n": 3, "line": "x\ny"}
+    line = log.KeyValueFormatter().format(record)
     assert line.endswith('level=info part=calls event="a \\"b\\"" doc="d=1" ms=1.2 n=3 line="x\\ny"')
 
 
 def test_a_log_that_nobody_reads_does_not_block():
     reader, writer = os.pipe()
-    handler = log.Unblocked(writer)
+    handler = log.NonBlockingHandler(writer)
     for _ in range(3000):
         handler.emit(logging.LogRecord("birchstack", logging.INFO, "", 0, "x" * 100, (), None))
     assert handler.dropped > 0
@@ -165,6 +165,6 @@
 
 def test_what_must_hold_is_asserted_in_debug_and_counted_in_release(monkeypatch):
     with pytest.raises(AssertionError, match="so it is"):
-        log.holds(False, "so it is")
-    assert log.holds(1, "so it is") and log.broken["so it is"] == 1
-    log.broken.clear()
+        log.check_invariant(False, "so it is")
+    assert log.check_invariant(1, "so it is") and log.violations["so it is"] == 1
+    log.violations.clear()
--- a/tests/test_watch_bound.py
+++ b/tests/test_watch_bound.py
@@ -10,7 +10,15 @@
 
 from birchstack.emulator.clock import Clock, ProcessLoop
 from birchstack.emulator.network import Network
-from birchstack.net.discovery import AGAIN_S, ANSWER_S, ASKED_S, BEAT_S, BEATS, TOLD_S, Watch
+from birchstack.net.discovery import (
+    HEARTBEAT_S,
+    PROPAGATION_BOUND_S,
+    REQUEST_BOUND_S,
+    RESPONSE_TIMEOUT_S,
+    RETRY_DELAY_S,
+    SILENT_HEARTBEATS,
+    Watch,
+)
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
@@ -35,8 +43,9 @@
 
 
 def test_the_sum_of_the_time_outs_stays_inside_the_term():
-    longest = max(ANSWER_S, BEAT_S * BEATS) + AGAIN_S
-    assert longest == ASKED_S and longest + 0.4 < TOLD_S == 6.0  # what is left: a dial, a head and a list
+    longest = max(RESPONSE_TIMEOUT_S, HEARTBEAT_S * SILENT_HEARTBEATS) + RETRY_DELAY_S
+    # what is left is for a dial, a head and a list
+    assert longest == REQUEST_BOUND_S and longest + 0.4 < PROPAGATION_BOUND_S == 6.0
 
 
 # Every state, drawn, in virtual time
@@ -83,7 +92,7 @@
         self._began, day = True, self._day
         if day.clock.now >= day.reached:
             self._port.write(HEAD + chunk(listed(2)))
-            self._later(BEAT_S, self._beat)
+            self._later(HEARTBEAT_S, self._beat)
             return
         said, chance = day.chance.choice(SAID), day.chance
         cut = chance.randint(0, len(said)) if chance.random() < 0.3 else len(said)
@@ -104,7 +113,7 @@
 
     def _beat(self):
         self._port.write(BEAT)
-        self._later(BEAT_S, self._beat)
+        self._later(HEARTBEAT_S, self._beat)
 
     def _later(self, after, what, *words):
         self._day.clock.after(after * 1000.0, lambda: self._port.gone or what(*words))
@@ -131,7 +140,7 @@
         self.counts_from = max(self.reached, starts)
         if chance.random() < 0.3:  # SIGHUP in the middle
             moves = max(starts, self.reached + chance.uniform(-6.0, 6.0))
-            self.clock.at(moves, loop.call_soon, watch.move, ("10.0.0.2", 1), ("shop",))
+            self.clock.at(moves, loop.call_soon, watch.reconfigure, ("10.0.0.2", 1), ("shop",))
         self.clock.run(self.reached + 12.0)
         self.faults = loop.faults
 
@@ -155,8 +164,8 @@
     days = [Day(seed) for seed in range(400)]
     assert not [day.faults for day in days if day.faults]
     worst, seed = max((day.took(), seed) for seed, day in enumerate(days))
-    assert worst < ASKED_S + 0.1 < TOLD_S, f"seed {seed}: {worst:.2f} s"
-    assert worst > ASKED_S - 0.3  # else the states that take longest were not drawn
+    assert worst < REQUEST_BOUND_S + 0.1 < PROPAGATION_BOUND_S, f"seed {seed}: {worst:.2f} s"
+    assert worst > REQUEST_BOUND_S - 0.3  # else the states that take longest were not drawn
 
 
 # Each state once, on real connections, all at the same time
@@ -205,20 +214,20 @@
     return broken
 
 
-SILENCE = BEAT_S * BEATS
+SILENCE = HEARTBEAT_S * SILENT_HEARTBEATS
 BROKEN = {  # what the first answer does, and the time-out that ends it
-    "no head": (says(), ANSWER_S),
-    "half a head": (says(HEAD[:20]), ANSWER_S),
+    "no head": (says(), RESPONSE_TIMEOUT_S),
+    "half a head": (says(HEAD[:20]), RESPONSE_TIMEOUT_S),
     "a head and nothing": (says(HEAD), SILENCE),
-    "a head that comes late, and nothing": (says(ANSWER_S - 0.2, HEAD), SILENCE),
+    "a head that comes late, and nothing": (says(RESPONSE_TIMEOUT_S - 0.2, HEAD), SILENCE),
     "a line that never ends": (says(HEAD, trickle=chunk(b'{"x": 0, ')), SILENCE),
     "an indented object that never ends": (says(HEAD, INDENTED, trickle=BEAT), SILENCE),
     "a beat that stops": (says(HEAD, BEAT), SILENCE),
     "a list, then a beat that stops": (says(HEAD, WHOLE, 0.1, BEAT), SILENCE + 0.1),
-    "a reset just before it is given up": (says(HEAD, SILENCE - 0.2, None), SILENCE - 0.2 + AGAIN_S),
-    "a told wait": (says(BUSY), AGAIN_S),
-    "a list that cannot be read": (says(HEAD, chunk(b"junk\n")), AGAIN_S),
-    "a reset": (says(HEAD + WHOLE, 0.1, None), 0.1 + AGAIN_S),
+    "a reset just before it is given up": (says(HEAD, SILENCE - 0.2, None), SILENCE - 0.2 + RETRY_DELAY_S),
+    "a told wait": (says(BUSY), RETRY_DELAY_S),
+    "a list that cannot be read": (says(HEAD, chunk(b"junk\n")), RETRY_DELAY_S),
+    "a reset": (says(HEAD + WHOLE, 0.1, None), 0.1 + RETRY_DELAY_S),
     "a sender that starts": (None, 0.0),
 }
 
@@ -260,7 +269,7 @@
     took = await acted(heard) - reached
     watch.stop()
     server.close()
-    return "dialling into silence", took, ANSWER_S
+    return "dialling into silence", took, RESPONSE_TIMEOUT_S
 
 
 async def refused_dial():
@@ -272,7 +281,7 @@
     took = await acted(heard) - reached
     watch.stop()
     server.close()
-    return "a refused dial", took, AGAIN_S
+    return "a refused dial", took, RETRY_DELAY_S
 
 
 async def moved():
@@ -284,7 +293,7 @@
         await asyncio.sleep(0.005)
     await asyncio.sleep(0.5)
     at = asyncio.get_running_loop().time()
-    watch.move(servers[1].sockets[0].getsockname(), ("shop",))
+    watch.reconfigure(servers[1].sockets[0].getsockname(), ("shop",))
     took = await acted(heard) - at
     watch.stop()
     for each in servers:
@@ -301,4 +310,4 @@
     for what, seconds, bound in took:
         print(f"{what:40} {seconds:6.3f} s of {bound:.1f} s")
     late = [(what, seconds) for what, seconds, bound in took if seconds > bound + 0.4]
-    assert not late and max(bound for _, _, bound in took) <= ASKED_S
+    assert not late and max(bound for _, _, bound in took) <= REQUEST_BOUND_S
