--- a/tests/test_cold_restart.py
+++ b/tests/test_cold_restart.py
@@ -1,5 +1,6 @@
-"""Senders that restart while a destination warms up go on with its ramp: real processes, one endpoint that
-falls over when they overrun it."""
+"""Senders that restart while a destination warms up continue its warm-up.
+
+Real processes, and one endpoint that fails when its capacity is exceeded."""
 
 import asyncio
 import random
@@ -10,7 +11,7 @@
 from birchstack.emulator.rig.real import Rig
 
 WARM_UP_MS, SENDERS, PER_SECOND = 8000.0, 6, 24.0
-BEFORE_S, AWAY_S, IN_RAMP_S, AFTER_S = 4.0, 3.0, 1.0, 2.5
+BEFORE_S, OUTAGE_S, RESTART_WITHIN_S, AFTER_S = 4.0, 3.0, 1.0, 2.5
 NO_LIST = {"rev": 0, "all": True, "targets": []}
 
 
@@ -25,12 +26,12 @@
 
 
 async def outage(rig):
-    """The endpoint tells all to wait for its return, and returns cold."""
+    """The endpoint asks all senders to wait until it is back, and comes back cold."""
     await asyncio.sleep(BEFORE_S)
-    back_ms = rig.stage.now_ms() + AWAY_S * 1000.0
+    back_ms = rig.stage.now_ms() + OUTAGE_S * 1000.0
     rig.endpoints.shut_until["e1"] = back_ms
     rig.endpoints.cold["e1"] = ColdReturn(back_ms, PER_SECOND * 1.5, WARM_UP_MS)
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(OUTAGE_S)
     return rig.endpoints.cold["e1"]
 
 
@@ -45,15 +46,15 @@
 
 
 async def upgrade(rig, name):
-    """A second process takes the place of the first."""
+    """Replaces the process by a second one that was started beside it."""
     beside = rig.add_sender(f"{name}-next", of=name)
     await beside.start()
     await rig[name].term()
-    await rig.until(lambda: "holds the folder" in beside.text(), 8.0, "the folder changes hands")
+    await rig.until(lambda: "holds the folder" in beside.text(), 8.0, "the state folder is handed over")
 
 
 async def kill_without_a_list(rig, name):
-    """It starts cut off from the list service, and knows of no endpoint until the cut ends."""
+    """Restarts it without a connection to the list service, so that it knows no endpoint for a while."""
     await rig[name].kill()
     rig.link(name, "list").cut()
     await rig.add_sender(name, known=NO_LIST).start()
@@ -62,26 +63,26 @@
 
 
 @pytest.mark.parametrize("end", [kill, kill_without_a_list, term, upgrade])
-def test_senders_that_restart_in_the_ramp_do_not_push_the_endpoint_over(tmp_path, end):
+def test_senders_that_restart_during_a_warm_up_do_not_overload_the_endpoint(tmp_path, end):
     async def story(rig):
         rig.load(PER_SECOND)
         cold = await outage(rig)
         chance = random.Random(end.__name__)
 
         async def restart(name):
-            await asyncio.sleep(chance.uniform(0.0, IN_RAMP_S))
+            await asyncio.sleep(chance.uniform(0.0, RESTART_WITHIN_S))
             await end(rig, name)
 
         await asyncio.gather(*(restart(name) for name in rig.senders))
         await asyncio.sleep(AFTER_S)
-        assert cold.fallen_ms is None, f"fell {cold.fallen_ms - cold.back_ms:.0f} ms after its return"
-        assert cold.fullest > 0.05, "the ramp goes on"
+        assert cold.fallen_ms is None, f"failed {cold.fallen_ms - cold.back_ms:.0f} ms after its return"
+        assert cold.fullest > 0.05, "the warm-up continues"
         await rig.quiet()
 
         def ended():
             delivered = {each.doc for each in rig.endpoints.calls if each.status == 200}
             return delivered | set(rig.list.notices) >= rig.clients.taken()
 
-        await rig.until(ended, 20.0, "all that was taken on has its end")
+        await rig.until(ended, 20.0, "all accepted documents have ended")
 
     play(tmp_path, story)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""What is owed outlasts the process; every process here ends without a word, as by SIGKILL."""
+"""The ledger across restarts; every process in these tests ends without clean-up, as by SIGKILL."""
 
 import os
 
@@ -9,40 +9,40 @@
 from birchstack.net.machine import Folder
 
 
-def used(folder):
-    return sum(round_up_to_blocks(entry.stat().st_size) for entry in os.scandir(folder))
+def disk_usage(folder):
+    return sum(round_up_to_blocks(file.stat().st_size) for file in os.scandir(folder))
 
 
 def take(ledger, doc_id="d", body=b"body"):
     return ledger.add(doc_id, "sync", 3, None, 9000.0, body)
 
 
-def test_an_empty_folder_is_normal(tmp_path):
+def test_an_empty_folder_starts_with_an_empty_ledger(tmp_path):
     assert not Ledger(Folder(str(tmp_path)), 3_000_000).entries
 
 
-def test_a_document_comes_back_with_its_past_and_in_order(tmp_path):
+def test_documents_are_recovered_in_order_with_their_transmissions(tmp_path):
     ledger = Ledger(Folder(str(tmp_path)), 3_000_000)
     for doc_id in "zab":
         take(ledger, doc_id, doc_id.encode() * 3)
-    owed = ledger.entries["a"]
+    entry = ledger.entries["a"]
     for doubt in (True, False):
-        ledger.record_transmission(owed, "az", 100.0)
-        ledger.record_outcome(owed, doubt, True)
-    ledger.record_transmission(owed, "bz", 200.0)  # and this one is out at the end
+        ledger.record_transmission(entry, "az", 100.0)
+        ledger.record_outcome(entry, doubt, True)
+    ledger.record_transmission(entry, "bz", 200.0)  # in flight when the process ends
     ledger.finish(ledger.entries["b"])
-    for _ in range(2):  # the second time from what the first wrote anew
-        again = Ledger(Folder(str(tmp_path)), 3_000_000)
-        assert [*again.entries] == ["z", "a"]
-        back = again.entries["a"]
-        assert (back.sent, back.failed, back.body, back.expiry, back.in_flight) == (
+    for _ in range(2):  # the second time from the file as the first start left it
+        reopened = Ledger(Folder(str(tmp_path)), 3_000_000)
+        assert [*reopened.entries] == ["z", "a"]
+        recovered = reopened.entries["a"]
+        assert (recovered.sent, recovered.failed, recovered.body, recovered.expiry, recovered.in_flight) == (
             3,
             2,
             b"aaa",
             9000.0,
             None,
         )
-        assert back.in_doubt == [("az", 100.0), ("bz", 200.0)]
+        assert recovered.in_doubt == [("az", 100.0), ("bz", 200.0)]
 
 
 @pytest.mark.parametrize("cut", [1, 9, 30])
@@ -52,53 +52,53 @@
     take(ledger, "b")
     with open(tmp_path / "ledger", "r+b") as file:
         file.truncate(os.path.getsize(tmp_path / "ledger") - cut)
-    take(ledger, "c")  # as a process would that survived a full disk
+    take(ledger, "c")  # as by a process that continues after a full disk
     assert [*Ledger(Folder(str(tmp_path)), 3_000_000).entries] == ["a", "c"]
 
 
-def test_a_notice_is_owed_until_it_is_known_and_its_body_is_not_kept(tmp_path):
+def test_a_notice_is_kept_until_it_is_acknowledged_but_its_body_is_not(tmp_path):
     ledger = Ledger(Folder(str(tmp_path)), 3_000_000)
     ledger.record_notice(take(ledger), "bounced", 250.0)
     assert os.listdir(tmp_path) == ["ledger"]
-    again = Ledger(Folder(str(tmp_path)), 3_000_000)
-    assert again.entries["d"].notice == ("bounced", 250.0)
-    again.finish(again.entries["d"])
+    reopened = Ledger(Folder(str(tmp_path)), 3_000_000)
+    assert reopened.entries["d"].notice == ("bounced", 250.0)
+    reopened.finish(reopened.entries["d"])
     last = Ledger(Folder(str(tmp_path)), 3_000_000)
     assert not last.entries and "d" in last.ended
 
 
-def test_a_body_without_its_record_goes_and_a_record_without_its_body_is_owed_an_end(tmp_path):
+def test_a_body_without_record_is_removed_and_a_document_without_body_ends_undelivered(tmp_path):
     ledger = Ledger(Folder(str(tmp_path)), 3_000_000)
     take(ledger, "a")
     take(ledger, "b")
     os.unlink(tmp_path / "body-0")
     (tmp_path / "body-77").write_bytes(b"x")
     (tmp_path / "ledger.new").write_bytes(b"half")
-    again = Ledger(Folder(str(tmp_path)), 3_000_000)
-    assert again.entries["a"].notice == ("dead", 0.0) and again.entries["b"].notice is None
+    reopened = Ledger(Folder(str(tmp_path)), 3_000_000)
+    assert reopened.entries["a"].notice == ("dead", 0.0) and reopened.entries["b"].notice is None
     assert sorted(os.listdir(tmp_path)) == ["body-1", "ledger"]
 
 
-def test_the_limit_holds_with_the_largest_bodies_and_while_the_file_is_written_anew(tmp_path, monkeypatch):
-    limit, most = 3_000_000, []
+def test_the_disk_limit_holds_with_the_largest_bodies_and_during_compaction(tmp_path, monkeypatch):
+    limit, usage = 3_000_000, []
     ledger = Ledger(Folder(str(tmp_path)), limit)
     monkeypatch.setattr(
-        module.os, "rename", lambda old, new: (most.append(used(tmp_path)), os.replace(old, new))
+        module.os, "rename", lambda old, new: (usage.append(disk_usage(tmp_path)), os.replace(old, new))
     )
     for number in range(4000):
         if not ledger.has_space([65536]):
             ledger.finish(next(iter(ledger.entries.values())))
             continue
-        owed = take(ledger, f"{number:036}", b"x" * 65536)
+        entry = take(ledger, f"{number:036}", b"x" * 65536)
         for _ in range(4):
-            ledger.record_transmission(owed, "zone", 1.0)
-            ledger.record_outcome(owed, True, True)
-        most.append(used(tmp_path))
-    assert len(ledger.entries) >= 40 and max(most) <= limit and len(most) > 2000
+            ledger.record_transmission(entry, "zone", 1.0)
+            ledger.record_outcome(entry, True, True)
+        usage.append(disk_usage(tmp_path))
+    assert len(ledger.entries) >= 40 and max(usage) <= limit and len(usage) > 2000
     assert len(Ledger(Folder(str(tmp_path)), limit).entries) == len(ledger.entries)
 
 
-def test_what_cannot_be_kept_is_not_owed(tmp_path, monkeypatch):
+def test_a_document_that_cannot_be_stored_is_not_accepted(tmp_path, monkeypatch):
     ledger = Ledger(Folder(str(tmp_path)), 3_000_000)
 
     def full(*words):
@@ -110,47 +110,47 @@
     assert not ledger.entries and os.listdir(tmp_path) == ["ledger"]
 
 
-@pytest.mark.parametrize("then", ["written", "not written", "written anew"])
-def test_an_outcome_that_a_full_disk_lost_leaves_its_call_in_doubt(tmp_path, monkeypatch, then):
+@pytest.mark.parametrize("then", ["written", "not written", "compacted"])
+def test_an_outcome_lost_to_a_full_disk_leaves_its_transmission_in_doubt(tmp_path, monkeypatch, then):
     ledger = Ledger(Folder(str(tmp_path)), 3_000_000)
-    owed, write = take(ledger), os.write
-    ledger.record_transmission(owed, "az", 100.0)
+    entry, write = take(ledger), os.write
+    ledger.record_transmission(entry, "az", 100.0)
     monkeypatch.setattr(module.os, "write", lambda *words: 0)
-    ledger.record_outcome(owed, True, True)  # it may have run
+    ledger.record_outcome(entry, True, True)  # it may have been executed
     monkeypatch.setattr(module.os, "write", write)
     if then == "written":
-        ledger.record_transmission(owed, "bz", 900.0)
-    ledger.record_outcome(owed, False, False)  # and this one surely not
-    assert owed.in_doubt == [("az", 100.0)]
-    if then == "written anew":
+        ledger.record_transmission(entry, "bz", 900.0)
+    ledger.record_outcome(entry, False, False)  # this one certainly was not
+    assert entry.in_doubt == [("az", 100.0)]
+    if then == "compacted":
         assert ledger.compact()
-    back = Ledger(Folder(str(tmp_path)), 3_000_000).entries["d"]
-    assert (back.sent, back.in_doubt) == (2, [("az", 100.0)])
+    recovered = Ledger(Folder(str(tmp_path)), 3_000_000).entries["d"]
+    assert (recovered.sent, recovered.in_doubt) == (2, [("az", 100.0)])
 
 
-def test_a_call_that_is_out_while_the_file_is_written_anew_counts_from_its_writing(tmp_path):
+def test_a_transmission_in_flight_during_compaction_keeps_its_time(tmp_path):
     ledger = Ledger(Folder(str(tmp_path)), 3_000_000)
-    owed = take(ledger)
-    ledger.record_transmission(owed, "az", 100.0)
-    ledger.record_outcome(owed, True, True)
-    ledger.record_transmission(owed, "bz", 900.25)
+    entry = take(ledger)
+    ledger.record_transmission(entry, "az", 100.0)
+    ledger.record_outcome(entry, True, True)
+    ledger.record_transmission(entry, "bz", 900.25)
     assert ledger.compact()
     assert Ledger(Folder(str(tmp_path)), 3_000_000).entries["d"].in_doubt == [("az", 100.0), ("bz", 900.25)]
 
 
-def test_a_process_that_waits_writes_apart_and_the_next_holder_takes_both_up(tmp_path):
+def test_a_standby_writes_its_own_file_and_the_next_holder_recovers_both(tmp_path):
     folder = Folder(str(tmp_path))
     holder = Ledger(folder, 3_000_000)
     take(holder, "old", b"old body")
     holder.record_wait("s-1", 5000.0)
-    waiting = Ledger(folder, 3_000_000, standby_name="beef")
-    take(waiting, "new", b"new body")
-    assert [*holder.entries] == ["old"] and [*waiting.entries] == ["new"]  # neither reads the other's
-    assert not waiting.waits
+    standby = Ledger(folder, 3_000_000, standby_name="beef")
+    take(standby, "new", b"new body")
+    assert [*holder.entries] == ["old"] and [*standby.entries] == ["new"]  # neither reads the other's file
+    assert not standby.waits
     holder.record_wait("s-1", 4000.0)  # an earlier end does not shorten a wait
     holder.close()
-    waiting.close()
-    after = Ledger(folder, 3_000_000)  # the one that waited, once it holds the folder
+    standby.close()
+    after = Ledger(folder, 3_000_000)  # the standby process, once it holds the folder
     assert [*after.entries] == ["new", "old"] and after.waits == {"s-1": 5000.0}
     assert (after.entries["new"].body, after.entries["old"].body) == (b"new body", b"old body")
     assert not [name for name in os.listdir(tmp_path) if name.startswith("ledger-next")]
@@ -158,52 +158,49 @@
     assert Ledger(folder, 3_000_000).waits == {"s-1": 5000.0}
 
 
-def killed(folder):
-    """The process of this folder ends: its locks are free."""
+def kill(folder):
+    """Ends the process of this folder, which releases its locks."""
     for handle in folder._locks.values():
         os.close(handle)
 
 
-def waiting(path, name, doc_id):
-    """A process that waits, with one document. Returns its ledger and what ends it as a kill would."""
+def start_standby(path, name, doc_id):
+    """Starts a standby process with one document; returns its ledger and a function that kills it."""
     folder = Folder(str(path))
     ledger = Ledger(folder, 3_000_000, standby_name=name)
     take(ledger, doc_id, doc_id.encode())
+    return ledger, lambda: kill(folder)
 
-    return ledger, lambda: killed(folder)
 
-
-def left(path):
+def files_left(path):
     return sorted(name for name in os.listdir(path) if not name.startswith("body-"))
 
 
-def test_what_a_process_that_waited_left_is_taken_up_by_the_one_that_holds_once_it_has_ended(tmp_path):
+def test_the_holder_adopts_documents_of_standby_processes_that_have_ended(tmp_path):
     holder = Ledger(Folder(str(tmp_path)), 3_000_000)
     take(holder, "old")
-    _, first_ends = waiting(tmp_path, "beef", "new")
-    second, _ = waiting(tmp_path, "cafe", "newer")  # has a file and bodies of its own
-    assert holder.adopt_standby() == [] and holder.has_standby()  # both live
-    first_ends()
-    assert [(owed.id, owed.body, owed.recovered) for owed in holder.adopt_standby()] == [
+    _, kill_first = start_standby(tmp_path, "beef", "new")
+    second, _ = start_standby(tmp_path, "cafe", "newer")  # has a file and bodies of its own
+    assert holder.adopt_standby() == [] and holder.has_standby()  # both are alive
+    kill_first()
+    assert [(entry.id, entry.body, entry.recovered) for entry in holder.adopt_standby()] == [
         ("new", b"new", True)
     ]
     assert holder.adopt_standby() == [] and [*holder.entries] == ["old", "new"] and holder.has_standby()
-    assert left(tmp_path) == ["ledger", "ledger-next-cafe", "ledger-next-cafe.lock"]
+    assert files_left(tmp_path) == ["ledger", "ledger-next-cafe", "ledger-next-cafe.lock"]
     holder.finish(holder.entries["new"])
-    after = Ledger(Folder(str(tmp_path)), 3_000_000)  # another takes the folder over, and cafe still waits
+    after = Ledger(Folder(str(tmp_path)), 3_000_000)  # another process takes over while cafe still waits
     assert [*after.entries] == ["old"] and after.has_standby()
     second.close()
     last = Ledger(Folder(str(tmp_path)), 3_000_000)
-    assert last.entries["newer"].body == b"newer" and left(tmp_path) == ["ledger"]
+    assert last.entries["newer"].body == b"newer" and files_left(tmp_path) == ["ledger"]
 
 
-@pytest.mark.parametrize("taken_up", ["while it runs", "at its start"])
-def test_a_file_that_was_taken_up_and_cannot_be_removed_is_not_taken_up_again(
-    tmp_path, monkeypatch, taken_up
-):
+@pytest.mark.parametrize("adopted", ["while running", "at the start"])
+def test_an_adopted_file_that_cannot_be_removed_is_not_adopted_again(tmp_path, monkeypatch, adopted):
     folder, unlink = Folder(str(tmp_path)), os.unlink
     holder = Ledger(folder, 3_000_000)
-    waiting(tmp_path, "beef", "new")[1]()
+    start_standby(tmp_path, "beef", "new")[1]()
 
     def fails(path):
         if "ledger-next" in str(path):
@@ -211,24 +208,24 @@
         unlink(path)
 
     monkeypatch.setattr(module.os, "unlink", fails)
-    if taken_up == "while it runs":
+    if adopted == "while running":
         assert len(holder.adopt_standby()) == 1
     else:
         holder = Ledger(folder, 3_000_000)
     holder.record_transmission(holder.entries["new"], "az", 100.0)
     holder.finish(holder.entries["new"])
-    assert holder.compact() and holder.adopt_standby() == [] and "ledger-next-beef" in left(tmp_path)
-    monkeypatch.setattr(module.os, "unlink", unlink)  # and is whole again
-    killed(folder)
+    assert holder.compact() and holder.adopt_standby() == [] and "ledger-next-beef" in files_left(tmp_path)
+    monkeypatch.setattr(module.os, "unlink", unlink)  # the disk works again
+    kill(folder)
     for _ in range(2):
-        assert not Ledger(Folder(str(tmp_path)), 3_000_000).entries and left(tmp_path) == ["ledger"]
+        assert not Ledger(Folder(str(tmp_path)), 3_000_000).entries and files_left(tmp_path) == ["ledger"]
 
 
-def test_a_file_that_cannot_be_taken_up_on_a_full_disk_is_taken_up_later(tmp_path, monkeypatch):
+def test_a_file_that_a_full_disk_keeps_from_adoption_is_adopted_later(tmp_path, monkeypatch):
     holder, write = Ledger(Folder(str(tmp_path)), 3_000_000), os.write
-    waiting(tmp_path, "beef", "new")[1]()
+    start_standby(tmp_path, "beef", "new")[1]()
     monkeypatch.setattr(module.os, "write", lambda handle, data: write(handle, data[:-3]))
     assert holder.adopt_standby() == [] and not holder.entries and not holder.has_standby()
     monkeypatch.setattr(module.os, "write", write)
-    assert [owed.id for owed in holder.adopt_standby()] == ["new"]
+    assert [entry.id for entry in holder.adopt_standby()] == ["new"]
     assert [*Ledger(Folder(str(tmp_path)), 3_000_000).entries] == ["new"]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' door of the real sender, on loopback: each call, what it does, and what it leaves alone."""
+"""The operators' server of a real sender on loopback: each request and its effects."""
 
 import asyncio
 import contextlib
@@ -17,37 +17,37 @@
     asyncio.run(whole())
 
 
-async def up(world):
+async def client_status(world):
     status, _ = await world.hand_in_raw(b"GET /up HTTP/1.1\r\nHost: api\r\nConnection: close\r\n\r\n")
     return status
 
 
-def test_ready_says_yes_once_the_door_is_open(tmp_path):
+def test_ready_answers_200_once_clients_are_accepted(tmp_path):
     async def story(world):
         assert await world.operator("GET", "/ready") == (200, "ready\n")
 
     play(tmp_path, story)
 
 
-def test_a_call_that_is_none_of_the_operators_is_a_no_that_changes_nothing(tmp_path):
+def test_an_unknown_request_is_refused_and_changes_nothing(tmp_path):
     async def story(world):
         for method, target in [("GET", "/drain"), ("POST", "/nothing"), ("DELETE", "/ready")]:
             status, _ = await world.operator(method, target)
             assert 400 <= status < 500
-        assert await up(world) == 200
+        assert await client_status(world) == 200
         reader, writer = await asyncio.open_connection("127.0.0.1", world.ops)
         writer.write(b"\x00\x01 not http\r\n\r\n")
         first, _, _ = await read_message(reader)
         assert first.startswith("HTTP/1.1 400")
-        assert await up(world) == 200
+        assert await client_status(world) == 200
 
     play(tmp_path, story)
 
 
-def test_a_caller_that_holds_its_connection_does_not_hold_up_another(tmp_path):
+def test_open_connections_do_not_block_another_request(tmp_path):
     async def story(world):
         held = []
-        for _ in range(80):  # more than the door keeps at once, each with half a call
+        for _ in range(80):  # more than the server keeps at once, each with half a request
             _, writer = await asyncio.open_connection("127.0.0.1", world.ops)
             writer.write(b"GET /ready HTTP/1.1\r\nHost:")
             held.append(writer)
@@ -60,16 +60,16 @@
     play(tmp_path, story)
 
 
-def test_a_drain_sends_clients_away_and_still_takes_what_comes_on_an_open_connection(tmp_path):
+def test_a_drain_turns_clients_away_and_still_accepts_a_request_on_an_open_connection(tmp_path):
     async def story(world):
-        idle_reader, idle_writer = await world.client()  # has asked once, and lies idle
+        idle_reader, idle_writer = await world.client()  # idle after one request
         idle_writer.write(post("d0"))
         assert (await read_message(idle_reader))[0].startswith("HTTP/1.1 202")
         busy_reader, busy_writer = await world.client()
         busy_writer.write(post("d1")[:20])  # in the middle of a request
         assert await world.operator("POST", "/drain") == (200, "drained\n")
-        assert await up(world) == 503
-        assert await asyncio.wait_for(idle_reader.read(), 1.0) == b""  # let go at once
+        assert await client_status(world) == 503
+        assert await asyncio.wait_for(idle_reader.read(), 1.0) == b""  # closed at once
         busy_writer.write(post("d1")[20:])
         first, fields, _ = await read_message(busy_reader)
         assert first.startswith("HTTP/1.1 202") and fields["connection"] == "close"
@@ -77,7 +77,7 @@
         assert await world.until(lambda: {"d0", "d1"} <= {doc for doc, _, _ in world.calls})
         assert world.process.returncode is None
         assert await world.operator("POST", "/undrain") == (200, "serving\n")
-        assert await up(world) == 200
+        assert await client_status(world) == 200
         status, fields = await world.hand_in("d2")
         assert status == 202 and "connection" not in fields
 
@@ -87,10 +87,10 @@
 # Replacing the process
 
 
-def test_an_upgrade_under_load_gives_each_document_one_end_and_sends_none_twice(tmp_path):
+def test_an_upgrade_under_load_ends_each_document_once_and_sends_none_twice(tmp_path):
     async def story(world):
         taken, stop = [], asyncio.Event()
-        world.answers = [[b""] * 5 + [OK_200]] * 10000  # each answer takes 0.1 s: calls are out
+        world.answers = [[b""] * 5 + [OK_200]] * 10000  # each answer takes 0.1 s, so that calls are in flight
 
         async def clients():
             number = 0
@@ -107,7 +107,7 @@
         second, ops = await world.beside()
         assert taken
         first = world.process
-        world.process = second  # the one that the world ends at last
+        world.process = second  # ended by the world at the end
         first.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(first.wait(), 4.0) == 0
         await asyncio.sleep(0.5)
@@ -124,10 +124,10 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
-def test_what_a_process_that_waits_took_on_is_sent_by_the_other_where_it_ends_first(tmp_path, number):
+def test_documents_of_a_standby_process_that_ends_first_are_sent_by_the_holder(tmp_path, number):
     async def story(world):
         second, _ = await world.beside()
-        names = [f"d{each}" for each in range(24)]  # some to each of the two
+        names = [f"d{each}" for each in range(24)]  # the two processes share them
         for name in names:
             assert (await world.hand_in(name, left=9000))[0] == 202
         held = [
@@ -141,7 +141,7 @@
         assert await world.until(lambda: len(world.calls) == len(names))
         assert sorted(doc for doc, _, _ in world.calls) == sorted(names) and not world.notices
         assert await world.until(lambda: not [*world.folder.glob("ledger-next-*")])
-        first = world.process  # nobody waits: it finishes what it has
+        first = world.process  # no standby process: it finishes its documents
         first.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(first.wait(), 4.0) == 0
         assert "handing=True" not in world.log()
@@ -149,59 +149,62 @@
     play(tmp_path, story)
 
 
-# Figures
+# Metrics
 
 
-def figures(text):
+def parse_metrics(text):
     return dict(line.split("=") for line in text.splitlines())
 
 
-def test_the_figures_count_from_the_start_what_became_of_each_type(tmp_path):
+def test_the_metrics_count_outcomes_by_type_since_the_start(tmp_path):
     async def story(world):
         assert (await world.hand_in("d1"))[0] == 202
-        assert (await world.hand_in("d2", left=0))[0] == 429  # no time left: refused
+        assert (await world.hand_in("d2", left=0))[0] == 429  # no time left: rejected
         assert await world.until(lambda: world.calls)
         await asyncio.sleep(0.1)
         status, text = await world.operator("GET", "/metrics")
-        told = figures(text)
-        assert status == 200 and told["balancer.responses.sync.ok"] == "1"
-        assert told["balancer.responses.sync.shed"] == "1" and told["balancer.responses.sync.errors"] == "0"
-        assert told["balancer.responses.pay.ok"] == "0" and told["balancer.tries"] == "1"
-        assert told["balancer.active"] == "0" and told["balancer.pool_size"] == "1"
-        assert told["balancer.pool_ejected"] == "0" and told["balancer.config_applied"] == "0"
+        metrics = parse_metrics(text)
+        assert status == 200 and metrics["balancer.responses.sync.ok"] == "1"
+        assert (
+            metrics["balancer.responses.sync.shed"] == "1"
+            and metrics["balancer.responses.sync.errors"] == "0"
+        )
+        assert metrics["balancer.responses.pay.ok"] == "0" and metrics["balancer.tries"] == "1"
+        assert metrics["balancer.active"] == "0" and metrics["balancer.pool_size"] == "1"
+        assert metrics["balancer.pool_ejected"] == "0" and metrics["balancer.config_applied"] == "0"
 
     play(tmp_path, story)
 
 
-# Endpoints out by hand
+# Disabled endpoints
 
 
-def test_an_endpoint_out_by_hand_gets_nothing_new_until_one_call_puts_it_back(tmp_path):
+def test_a_disabled_endpoint_gets_nothing_new_until_it_is_enabled(tmp_path):
     async def story(world):
         assert (await world.hand_in("d1"))[0] == 202
         assert await world.until(lambda: len(world.calls) == 1)
         assert await world.operator("POST", "/endpoints/disable?id=s-1") == (200, "s-1 out\n")
-        assert (await world.operator("POST", "/endpoints/disable?id=s-1"))[0] == 200  # twice
-        for asked in [
+        assert (await world.operator("POST", "/endpoints/disable?id=s-1"))[0] == 200  # a second time
+        for target in [
             "/endpoints/disable?id=s-9",
             "/endpoints/enable?id=s-9",
             "/endpoints/disable",
             "/endpoints/disable?id=s-1&id=s-2",
         ]:
-            assert 400 <= (await world.operator("POST", asked))[0] < 500
-        assert figures((await world.operator("GET", "/metrics"))[1])["balancer.pool_ejected"] == "1"
-        assert (await world.hand_in("d2"))[0] == 429  # no place: told when to come back
+            assert 400 <= (await world.operator("POST", target))[0] < 500
+        assert parse_metrics((await world.operator("GET", "/metrics"))[1])["balancer.pool_ejected"] == "1"
+        assert (await world.hand_in("d2"))[0] == 429  # no endpoint available: rejected with a time to retry
         await asyncio.sleep(0.5)
         assert len(world.calls) == 1
         assert await world.operator("POST", "/endpoints/enable?id=s-1") == (200, "s-1 in\n")
         assert (await world.hand_in("d3"))[0] == 202
         assert await world.until(lambda: len(world.calls) == 2) and world.calls[1][0] == "d3"
-        assert figures((await world.operator("GET", "/metrics"))[1])["balancer.pool_ejected"] == "0"
+        assert parse_metrics((await world.operator("GET", "/metrics"))[1])["balancer.pool_ejected"] == "0"
 
     play(tmp_path, story)
 
 
-def test_an_endpoint_out_by_hand_stays_out_over_an_upgrade(tmp_path):
+def test_a_disabled_endpoint_stays_disabled_across_an_upgrade(tmp_path):
     async def story(world):
         assert (await world.operator("POST", "/endpoints/disable?id=s-1"))[0] == 200
         second, ops = await world.beside()
@@ -209,7 +212,7 @@
         first.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(first.wait(), 4.0) == 0
         assert await world.until(lambda: "holds the folder" in world.log())
-        assert (await world.hand_in("d1"))[0] == 429  # no place: told when to come back
+        assert (await world.hand_in("d1"))[0] == 429  # no endpoint available: rejected with a time to retry
         await asyncio.sleep(0.5)
         assert not world.calls
         assert (await world.operator("POST", "/endpoints/enable?id=s-1", ops))[0] == 200
@@ -219,18 +222,18 @@
     play(tmp_path, story)
 
 
-def test_a_wait_told_to_the_old_process_is_kept_by_the_new_one(tmp_path):
+def test_a_wait_requested_from_the_old_process_is_honoured_by_the_new_one(tmp_path):
     async def story(world):
         world.answers = [answer(429, x_come_back_ms=2500)]
         assert (await world.hand_in("d1"))[0] == 202
         assert await world.until(lambda: world.calls)
-        told_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         second, _ = await world.beside()
         first, world.process = world.process, second
         first.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(first.wait(), 4.0) == 0
         assert await world.until(lambda: "holds the folder" in world.log())
         assert await world.until(lambda: len(world.calls) == 2, 6.0)  # d1 again, from the new one
-        assert asyncio.get_running_loop().time() - told_at >= 2.4
+        assert asyncio.get_running_loop().time() - requested_at >= 2.4
 
     play(tmp_path, story)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""What a restart finds taken on and untried is still tried: real processes, ended with documents in line."""
+"""Documents accepted but untried before a restart are still sent, by real processes that were ended."""
 
 import asyncio
 import contextlib
@@ -8,22 +8,22 @@
 import pytest
 from fake import RESET, SILENT, Shut, World, answer, post, read_message
 
-MANY = 200
-ROOM = {"settings__limits__maxOpen": 400, "settings__domain__callsOut": 8}
-ALL = {"rev": 9, "all": True}
+DOCUMENTS = 200
+LIMITS = {"settings__limits__maxOpen": 400, "settings__domain__callsOut": 8}
+FULL_LIST = {"rev": 9, "all": True}
 
 
 def play(folder, story, **words):
     async def whole():
         (folder / "state").mkdir()
-        async with World(folder / "state", changes=dict(ROOM), **words) as world:
+        async with World(folder / "state", changes=dict(LIMITS), **words) as world:
             await asyncio.wait_for(story(world), 30.0)
 
     asyncio.run(whole())
 
 
-async def take_on(world, names, kind="sync"):
-    """Hands documents in, one after another on one connection."""
+async def submit(world, names, kind="sync"):
+    """Submits documents one after another on one connection."""
     reader, writer = await world.client()
     for name in names:
         writer.write(post(name, kind, left=19000))
@@ -31,16 +31,16 @@
     writer.close()
 
 
-async def held_untried(world):
-    """Many documents that no endpoint was listed for; some of them binding."""
-    names = [f"d{number}" for number in range(MANY)]
-    await take_on(world, names[:150])
-    await take_on(world, names[150:], "pay")
+async def submit_without_endpoints(world):
+    """Submits documents, some of them binding, while no endpoint is listed."""
+    names = [f"d{number}" for number in range(DOCUMENTS)]
+    await submit(world, names[:150])
+    await submit(world, names[150:], "pay")
     assert not world.calls
     return names
 
 
-async def all_tried(world, names, ends=0):
+async def all_sent(world, names, ends=0):
     assert await world.until(lambda: len({doc for doc, *_ in world.calls}) == len(names), 12.0)
     assert sorted(doc for doc, *_ in world.calls) == sorted(names), "each once"
     assert await world.until(lambda: len(world.notices) == ends) and len(world.notices) == ends
@@ -49,9 +49,9 @@
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
 @pytest.mark.parametrize("known", ["empty", "old", "draining"])
 @pytest.mark.parametrize("silent", [False, True])
-def test_all_that_was_untried_is_tried_whatever_list_was_known(tmp_path, number, known, silent):
+def test_untried_documents_are_sent_whatever_list_is_configured(tmp_path, number, known, silent):
     async def story(world):
-        names = await held_untried(world)
+        names = await submit_without_endpoints(world)
         await world.kill(number)
         entries = {
             "empty": [],
@@ -61,20 +61,20 @@
         if silent and known == "old":
             entries = [world.entry("left", "s-0")]
         world.changes["known"] = {"rev": 8, "all": True, "targets": entries}
-        whole = {**ALL, "targets": [world.entry()]}
+        whole = {**FULL_LIST, "targets": [world.entry()]}
         world.lines = [] if silent else [whole]
         await world.start()
-        if silent:  # it serves all the same, and has given up nothing
-            await take_on(world, ["new"])
+        if silent:  # it still accepts documents, and has ended none
+            await submit(world, ["new"])
             names.append("new")
             assert not world.notices and not world.calls
             world.say(whole)
-        await all_tried(world, names)
+        await all_sent(world, names)
 
     play(tmp_path, story, known=False)
 
 
-def told_to_wait(world):
+def asked_to_wait(world):
     world.answers = [answer(429, X_Come_Back_Ms="2000")]
 
 
@@ -82,20 +82,20 @@
     world.answers = [RESET] * 3 + [SILENT] * 20
 
 
-@pytest.mark.parametrize("before", [told_to_wait, failed])
-def test_a_wait_or_failures_before_the_end_put_calls_off_and_give_up_nothing(tmp_path, before):
+@pytest.mark.parametrize("before", [asked_to_wait, failed])
+def test_a_wait_or_failures_before_the_restart_delay_calls_and_end_no_document(tmp_path, before):
     async def story(world):
         before(world)
-        world.say({**ALL, "targets": [world.entry()]})
-        await take_on(world, ["first"])
+        world.say({**FULL_LIST, "targets": [world.entry()]})
+        await submit(world, ["first"])
         assert before is failed or await world.until(lambda: '["wait"' in world.on_disk())
-        names = [f"d{number}" for number in range(MANY)]
-        await take_on(world, names)
-        assert before is told_to_wait or await world.until(lambda: world.on_disk().count('["back"') >= 3)
+        names = [f"d{number}" for number in range(DOCUMENTS)]
+        await submit(world, names)
+        assert before is asked_to_wait or await world.until(lambda: world.on_disk().count('["back"') >= 3)
         await world.kill(signal.SIGKILL)
         untried = [name for name in names if name not in [doc for doc, *_ in world.calls]]
-        assert len(untried) > MANY // 2
-        world.answers, world.lines = [], [{**ALL, "targets": [world.entry()]}]
+        assert len(untried) > DOCUMENTS // 2
+        world.answers, world.lines = [], [{**FULL_LIST, "targets": [world.entry()]}]
         await world.start()
         assert await world.until(lambda: {*untried} <= {doc for doc, *_ in world.calls}, 12.0)
         assert not world.notices
@@ -103,9 +103,9 @@
     play(tmp_path, story, known=False)
 
 
-def test_with_less_room_and_fewer_slots_and_without_one_type_the_others_are_tried(tmp_path):
+def test_after_lowered_limits_and_a_removed_type_the_other_documents_are_sent(tmp_path):
     async def story(world):
-        names = await held_untried(world)
+        names = await submit_without_endpoints(world)
         await world.kill(signal.SIGKILL)
         services = [
             {
@@ -120,9 +120,9 @@
         world.changes.update(
             {"settings__limits__maxOpen": 20, "settings__domain__callsOut": 1, "settings__services": services}
         )
-        world.lines = [{**ALL, "targets": [world.entry()]}]
+        world.lines = [{**FULL_LIST, "targets": [world.entry()]}]
         await world.start()
-        await all_tried(world, names[:150], ends=50)
+        await all_sent(world, names[:150], ends=50)
         assert {each["result"] for each in world.notices} == {"dead"}
         assert world.log().count('reason="its type is in the settings no more"') >= 1
 
@@ -153,7 +153,7 @@
         services(("sync", "safe", 900.0, 0), ("pay", "keyed", 0.5, 0)),
     ],
 )
-def test_settings_that_are_legal_and_unlike_any_start_and_serve(tmp_path, settings):
+def test_unusual_but_valid_settings_start_and_serve(tmp_path, settings):
     async def story(world):
         for number in range(5):
             assert (await world.hand_in(f"d{number}", left=900))[0] == 202
@@ -169,9 +169,9 @@
     asyncio.run(whole())
 
 
-def test_a_torn_last_line_and_a_second_kill_during_the_start_lose_nothing_else(tmp_path):
+def test_a_torn_last_record_and_kills_during_the_start_lose_nothing_else(tmp_path):
     async def story(world):
-        names = await held_untried(world)
+        names = await submit_without_endpoints(world)
         await world.kill(signal.SIGKILL)
         ledger = world.folder / "ledger"
         os.truncate(ledger, ledger.stat().st_size - 5)
@@ -183,39 +183,39 @@
                     await asyncio.sleep(0.001)
                 task.cancel()
             await world.kill(signal.SIGKILL)
-        world.lines = [{**ALL, "targets": [world.entry()]}]
+        world.lines = [{**FULL_LIST, "targets": [world.entry()]}]
         await world.start()
-        await all_tried(world, names[:-1])
+        await all_sent(world, names[:-1])
 
     play(tmp_path, story, known=False)
 
 
 def test_sigterm_before_the_first_list_ends_cleanly_and_loses_nothing(tmp_path):
     async def story(world):
-        names = await held_untried(world)
+        names = await submit_without_endpoints(world)
         await world.kill(signal.SIGKILL)
         asked = len(world.asked)
         task = asyncio.ensure_future(world.start())
-        while len(world.asked) == asked:  # it waits for what discovery says
+        while len(world.asked) == asked:  # it waits for the first list
             await asyncio.sleep(0.001)
         assert await world.kill(signal.SIGTERM) == 0
         task.cancel()
-        world.lines = [{**ALL, "targets": [world.entry()]}]
+        world.lines = [{**FULL_LIST, "targets": [world.entry()]}]
         await world.start()
-        await all_tried(world, names)
+        await all_sent(world, names)
 
     play(tmp_path, story, known=False)
 
 
-def test_a_binding_document_whose_connection_was_still_coming_up_is_untried(tmp_path):
+def test_a_binding_document_whose_connection_was_not_established_is_untried(tmp_path):
     async def story(world):
         shut = Shut()
-        world.say({**ALL, "targets": [world.entry(place=shut.place)]})
-        await take_on(world, ["p1"], "pay")
+        world.say({**FULL_LIST, "targets": [world.entry(place=shut.place)]})
+        await submit(world, ["p1"], "pay")
         await shut.dialled(world)
         await world.kill(signal.SIGKILL)
-        world.lines = [{**ALL, "targets": [world.entry()]}]
+        world.lines = [{**FULL_LIST, "targets": [world.entry()]}]
         await world.start()
-        await all_tried(world, ["p1"])
+        await all_sent(world, ["p1"])
 
     play(tmp_path, story, known=False)
--- a/tests/test_restart_ready.py
+++ b/tests/test_restart_ready.py
@@ -1,4 +1,4 @@
-"""Restarted senders are ready in time, several at once with documents in their folders: real processes."""
+"""Time to readiness of real senders restarted at once with documents in their ledgers."""
 
 import asyncio
 
@@ -7,9 +7,9 @@
 from benchmarks.restart_ready import restart, verdict
 
 
-def test_of_eight_restarted_at_once_all_are_ready_in_30_s_and_nine_in_ten_in_10():
-    owed, measured = asyncio.run(restart(8, 400, large=4, sent=2))
-    assert owed == [404] * 8 and verdict([seconds for seconds, _ in measured]), measured
+def test_eight_senders_restarted_at_once_are_ready_in_30_s_and_nine_in_ten_in_10_s():
+    documents, measured = asyncio.run(restart(8, 400, large=4, sent=2))
+    assert documents == [404] * 8 and verdict([seconds for seconds, _ in measured]), measured
 
 
 @pytest.mark.parametrize(
@@ -22,5 +22,5 @@
         ([1.0] * 7 + [float("inf")], False),
     ],
 )
-def test_the_verdict(times, holds):
+def test_the_verdict_on_times_to_readiness(times, holds):
     assert verdict(times) == holds
--- a/tests/test_watch_bound.py
+++ b/tests/test_watch_bound.py
@@ -1,5 +1,7 @@
-"""What discovery has counts as told 6 s after it could be reached, whatever failed before: the sum of the
-watch's time-outs, all its states drawn in virtual time, and each of them once on real connections."""
+"""The watch acts on a list at most 6 s after discovery became reachable, whatever failed before.
+
+Checks the sum of the watch's time-outs, its states drawn at random in virtual time, and each state once on
+real connections."""
 
 import asyncio
 import contextlib
@@ -42,26 +44,26 @@
     return json.dumps({"rev": rev, "all": True, "targets": [entry]}).encode() + b"\n"
 
 
-def test_the_sum_of_the_time_outs_stays_inside_the_term():
+def test_the_sum_of_the_time_outs_stays_within_the_bound():
     longest = max(RESPONSE_TIMEOUT_S, HEARTBEAT_S * SILENT_HEARTBEATS) + RETRY_DELAY_S
     # what is left is for a dial, a head and a list
     assert longest == REQUEST_BOUND_S and longest + 0.4 < PROPAGATION_BOUND_S == 6.0
 
 
-# Every state, drawn, in virtual time
+# Every state, drawn at random, in virtual time
 
 WHOLE, HALF, INDENTED = chunk(listed(1)), chunk(listed(1)[:30]), chunk(b'{\n"rev": 1,\n')
-BEAT = chunk(b"\n")
-SAID = [  # what an answer says before it falls silent; a beat in the middle of an object is none
+HEARTBEAT = chunk(b"\n")
+ANSWERS = [  # before they fall silent; a heartbeat in the middle of an object does not count as one
     b"",
     HEAD[:20],
     HEAD,
-    HEAD + BEAT,
+    HEAD + HEARTBEAT,
     HEAD + HALF,
     HEAD + INDENTED,
-    HEAD + INDENTED + BEAT,
+    HEAD + INDENTED + HEARTBEAT,
     HEAD + WHOLE,
-    HEAD + WHOLE + BEAT + HALF,
+    HEAD + WHOLE + HEARTBEAT + HALF,
     HEAD + WHOLE + INDENTED,
     HEAD + chunk(b"junk\n"),
     HEAD + WHOLE + b"zz\r\n",
@@ -74,11 +76,11 @@
 
 
 class Agent:
-    """One answer of discovery: a broken one, drawn, as long as discovery cannot be reached; then a whole one.
-    What was broken before stays so."""
+    """One response of discovery: a broken one, drawn at random, while discovery counts as unreachable, and a
+    complete one after. A response that began broken stays so."""
 
-    def __init__(self, day):
-        self._day, self._began = day, False
+    def __init__(self, run):
+        self._run, self._began = run, False
 
     def opened(self, port):
         self._port = port
@@ -89,38 +91,40 @@
     def received(self, data):
         if self._began:
             return
-        self._began, day = True, self._day
-        if day.clock.now >= day.reached:
+        self._began, run = True, self._run
+        if run.clock.now >= run.reached:
             self._port.write(HEAD + chunk(listed(2)))
             self._later(HEARTBEAT_S, self._beat)
             return
-        said, chance = day.chance.choice(SAID), day.chance
-        cut = chance.randint(0, len(said)) if chance.random() < 0.3 else len(said)
+        answer, chance = run.chance.choice(ANSWERS), run.chance
+        cut = chance.randint(0, len(answer)) if chance.random() < 0.3 else len(answer)
         first, when = chance.choice([0.0, 0.0, chance.uniform(0.0, 2.1)]), 0.0
         for at, part in ((first, slice(cut)), (chance.uniform(0.0, 6.0), slice(cut, None))):
             when += at
-            self._later(when, self._say, said, part)
-        if chance.random() < 0.4:  # bytes that keep coming, none of them whole
+            self._later(when, self._send, answer, part)
+        if chance.random() < 0.4:  # bytes that keep coming and never complete a line
             for at in range(200):
                 self._later(when + at / 10.0, self._port.write, chunk(b'"x": 0,'))
         if chance.random() < 0.5:
             self._later(chance.uniform(0.0, 8.0), chance.choice([self._port.close, self._port.abort]))
 
-    def _say(self, said, part):
-        """Heads come at any time; whole lists and beats only before: else it fell silent later."""
-        past = self._day.clock.now >= self._day.reached
-        self._port.write((said[: len(HEAD)] if past else said)[part])
+    def _send(self, answer, part):
+        """Sends response heads at any time, but complete lists and heartbeats only while unreachable.
+
+        Later ones would postpone the moment at which the watch counts as silent."""
+        reachable = self._run.clock.now >= self._run.reached
+        self._port.write((answer[: len(HEAD)] if reachable else answer)[part])
 
     def _beat(self):
-        self._port.write(BEAT)
+        self._port.write(HEARTBEAT)
         self._later(HEARTBEAT_S, self._beat)
 
     def _later(self, after, what, *words):
-        self._day.clock.after(after * 1000.0, lambda: self._port.gone or what(*words))
+        self._run.clock.after(after * 1000.0, lambda: self._port.gone or what(*words))
 
 
-class Day:
-    """A watch from its start until it has acted on what discovery had when it could be reached at last."""
+class Run:
+    """A watch from its start until it has acted on the list that discovery had when it became reachable."""
 
     def __init__(self, seed):
         self.chance = chance = random.Random(seed)
@@ -128,7 +132,7 @@
         network = Network(self.clock, seed, 0.2, 0.2, 0.5)
         loop, self.acted = ProcessLoop(self.clock, network, "n"), None
         hosts = [network.serve((name, 1), name, lambda: Agent(self)) for name in ("10.0.0.1", "10.0.0.2")]
-        for host in hosts:  # before: up, refusing and dark in turn
+        for host in hosts:  # until then up, refusing and unreachable in turn
             at = 0.0
             while at < self.reached:
                 self.clock.at(at, self._state, network, host, chance.choice(["up", "up", "refuses", "dark"]))
@@ -160,28 +164,28 @@
         return (self.acted or 99.0) - self.counts_from
 
 
-def test_from_every_state_a_list_is_acted_on_within_the_sum():
-    days = [Day(seed) for seed in range(400)]
-    assert not [day.faults for day in days if day.faults]
-    worst, seed = max((day.took(), seed) for seed, day in enumerate(days))
+def test_from_every_state_a_list_is_acted_on_within_the_bound():
+    runs = [Run(seed) for seed in range(400)]
+    assert not [run.faults for run in runs if run.faults]
+    worst, seed = max((run.took(), seed) for seed, run in enumerate(runs))
     assert worst < REQUEST_BOUND_S + 0.1 < PROPAGATION_BOUND_S, f"seed {seed}: {worst:.2f} s"
-    assert worst > REQUEST_BOUND_S - 0.3  # else the states that take longest were not drawn
+    assert worst > REQUEST_BOUND_S - 0.3  # otherwise the slowest states were not drawn
 
 
 # Each state once, on real connections, all at the same time
 
 
 class Platform:
-    """Discovery on a real socket: broken(writer) for its first connection, a whole answer to the others. It
-    can be reached from the moment in which that first one is asked, for a new ask would be answered."""
+    """Discovery on a real socket: broken(writer) answers the first connection, a complete list the others. It
+    counts as reachable from the first request on, since another request would be answered."""
 
     def __init__(self, broken):
-        self._broken, self.reached, self.times = broken, None, 0
+        self._broken, self.reached, self.connections = broken, None, 0
 
     async def serve(self, reader, writer):
-        self.times += 1
+        self.connections += 1
         with contextlib.suppress(ConnectionError):
-            if self.times == 1 and self._broken:
+            if self.connections == 1 and self._broken:
                 await read_message(reader)
                 self.reached = asyncio.get_running_loop().time()
                 await self._broken(writer)
@@ -195,8 +199,8 @@
         return await asyncio.start_server(self.serve, **(words or {"host": "127.0.0.1", "port": 0}))
 
 
-def says(*pieces, trickle=b""):
-    """pieces: bytes, seconds to wait, or None for a reset; trickle: what comes after them without an end."""
+def broken_answer(*pieces, trickle=b""):
+    """pieces: bytes, seconds to wait, or None for a reset; trickle: bytes repeated after them without end."""
 
     async def broken(writer):
         for piece in pieces:
@@ -216,33 +220,36 @@
 
 SILENCE = HEARTBEAT_S * SILENT_HEARTBEATS
 BROKEN = {  # what the first answer does, and the time-out that ends it
-    "no head": (says(), RESPONSE_TIMEOUT_S),
-    "half a head": (says(HEAD[:20]), RESPONSE_TIMEOUT_S),
-    "a head and nothing": (says(HEAD), SILENCE),
-    "a head that comes late, and nothing": (says(RESPONSE_TIMEOUT_S - 0.2, HEAD), SILENCE),
-    "a line that never ends": (says(HEAD, trickle=chunk(b'{"x": 0, ')), SILENCE),
-    "an indented object that never ends": (says(HEAD, INDENTED, trickle=BEAT), SILENCE),
-    "a beat that stops": (says(HEAD, BEAT), SILENCE),
-    "a list, then a beat that stops": (says(HEAD, WHOLE, 0.1, BEAT), SILENCE + 0.1),
-    "a reset just before it is given up": (says(HEAD, SILENCE - 0.2, None), SILENCE - 0.2 + RETRY_DELAY_S),
-    "a told wait": (says(BUSY), RETRY_DELAY_S),
-    "a list that cannot be read": (says(HEAD, chunk(b"junk\n")), RETRY_DELAY_S),
-    "a reset": (says(HEAD + WHOLE, 0.1, None), 0.1 + RETRY_DELAY_S),
-    "a sender that starts": (None, 0.0),
+    "no head": (broken_answer(), RESPONSE_TIMEOUT_S),
+    "half a head": (broken_answer(HEAD[:20]), RESPONSE_TIMEOUT_S),
+    "a head and nothing": (broken_answer(HEAD), SILENCE),
+    "a late head and nothing": (broken_answer(RESPONSE_TIMEOUT_S - 0.2, HEAD), SILENCE),
+    "a line that never ends": (broken_answer(HEAD, trickle=chunk(b'{"x": 0, ')), SILENCE),
+    "an indented object that never ends": (broken_answer(HEAD, INDENTED, trickle=HEARTBEAT), SILENCE),
+    "heartbeats that stop": (broken_answer(HEAD, HEARTBEAT), SILENCE),
+    "a list, then heartbeats that stop": (broken_answer(HEAD, WHOLE, 0.1, HEARTBEAT), SILENCE + 0.1),
+    "a reset just before the time-out": (
+        broken_answer(HEAD, SILENCE - 0.2, None),
+        SILENCE - 0.2 + RETRY_DELAY_S,
+    ),
+    "a request to wait": (broken_answer(BUSY), RETRY_DELAY_S),
+    "a malformed list": (broken_answer(HEAD, chunk(b"junk\n")), RETRY_DELAY_S),
+    "a reset": (broken_answer(HEAD + WHOLE, 0.1, None), 0.1 + RETRY_DELAY_S),
+    "a start without failure": (None, 0.0),
 }
 
 
-def watching(place, heard):
+def start_watch(address, heard):
     loop = asyncio.get_running_loop()
     watch = Watch(
-        loop, place, ("shop",), lambda mode, entries: heard.append((entries[0][0].destination, loop.time()))
+        loop, address, ("shop",), lambda mode, entries: heard.append((entries[0][0].destination, loop.time()))
     )
     watch.start({})
     return watch
 
 
-async def acted(heard):
-    """When a list of discovery's was acted on that it had from the first moment."""
+async def acted_at(heard):
+    """The time at which the watch acted on the list that discovery had from the beginning."""
     while not any(rev == 2 for rev, _ in heard):
         await asyncio.sleep(0.005)
     return next(when for rev, when in heard if rev == 2)
@@ -251,50 +258,50 @@
 async def broken(what):
     platform, heard, began = Platform(BROKEN[what][0]), [], asyncio.get_running_loop().time()
     server = await platform.open()
-    watch = watching(server.sockets[0].getsockname(), heard)
-    took = await acted(heard) - (platform.reached or began)
+    watch = start_watch(server.sockets[0].getsockname(), heard)
+    took = await acted_at(heard) - (platform.reached or began)
     watch.stop()
     server.close()
     return what, took, BROKEN[what][1]
 
 
 async def silent_dial():
-    """Its dial gets no answer at all, up to the moment in which discovery can be reached."""
+    """The dial gets no answer until discovery becomes reachable."""
     shut, platform, heard = Shut(), Platform(None), []
-    watch = watching(("127.0.0.1", shut.port), heard)
+    watch = start_watch(("127.0.0.1", shut.port), heard)
     await asyncio.sleep(0.2)
     shut._door.accept()[0].close()
     server = await platform.open(sock=shut._door)
     reached = asyncio.get_running_loop().time()
-    took = await acted(heard) - reached
+    took = await acted_at(heard) - reached
     watch.stop()
     server.close()
-    return "dialling into silence", took, RESPONSE_TIMEOUT_S
+    return "a dial without answer", took, RESPONSE_TIMEOUT_S
 
 
 async def refused_dial():
     port, heard = free_port(), []
-    watch, again = watching(("127.0.0.1", port), heard), asyncio.Event()
+    watch, again = start_watch(("127.0.0.1", port), heard), asyncio.Event()
     watch._retry, before = lambda: (before(), again.set()), watch._retry
     await again.wait()
     server, reached = await Platform(None).open(host="127.0.0.1", port=port), watch._loop.time()
-    took = await acted(heard) - reached
+    took = await acted_at(heard) - reached
     watch.stop()
     server.close()
     return "a refused dial", took, RETRY_DELAY_S
 
 
 async def moved():
-    """SIGHUP while the first address says nothing."""
-    old, new, heard = Platform(says(HEAD)), Platform(None), []
+    """SIGHUP while the first address is silent."""
+    old, new, heard = Platform(broken_answer(HEAD)), Platform(None), []
     servers = [await each.open() for each in (old, new)]
-    watch = watching(servers[0].sockets[0].getsockname(), heard)
+    watch = start_watch(servers[0].sockets[0].getsockname(), heard)
     while not old.reached:
         await asyncio.sleep(0.005)
     await asyncio.sleep(0.5)
     at = asyncio.get_running_loop().time()
     watch.reconfigure(servers[1].sockets[0].getsockname(), ("shop",))
-    took = await acted(heard) - at
+    took = await acted_at(heard) - at
     watch.stop()
     for each in servers:
         each.close()
