--- a/birchstack/net/by_hand.py
+++ b/birchstack/net/by_hand.py
@@ -57,7 +57,7 @@
             return Answer(True, f"{endpoint} {'out' if disable else 'in'} already")
         if disable and len(self.disabled) >= MAX_DISABLED:
             return Answer(False, f"{MAX_DISABLED} endpoints are out by hand already", 409)
-        wanted = (
+        disabled = (
             {**self.disabled, endpoint: None}
             if disable
             else {name: None for name in self.disabled if name != endpoint}
@@ -68,10 +68,10 @@
         while len(enabled_at) > MAX_DISABLED:
             del enabled_at[next(iter(enabled_at))]
         try:
-            self._folder.write(FILE + ".new", json.dumps({"out": [*wanted], "back": enabled_at}).encode())
+            self._folder.write(FILE + ".new", json.dumps({"out": [*disabled], "back": enabled_at}).encode())
             self._folder.rename(FILE + ".new", FILE)
         except OSError as problem:
             log_event(log, "endpoints out by hand not written", logging.ERROR, problem=problem)
             return Answer(False, "the folder cannot be written", 503)
-        self.disabled, self.enabled_at = wanted, enabled_at
+        self.disabled, self.enabled_at = disabled, enabled_at
         return Answer(True, f"{endpoint} {'out' if disable else 'in'}")
--- a/birchstack/net/ledger.py
+++ b/birchstack/net/ledger.py
@@ -230,10 +230,10 @@
             name for name, ended in self._standby_files().items() if ended and name not in self._adopted
         ]:
             try:
-                left = LedgerReplay(self._folder.read(name))
+                replay = LedgerReplay(self._folder.read(name))
                 fresh = [
                     entry
-                    for each, entry in left.entries.items()
+                    for each, entry in replay.entries.items()
                     if each not in self.entries and each not in self.ended
                 ]
                 records = [words for entry in fresh for words in self._snapshot_records(entry)]
@@ -452,9 +452,9 @@
 class LedgerReplay:
     """The state that results from replaying a ledger file's records."""
 
-    def __init__(self, text: bytes, known: RecoveryRecords | None = None) -> None:
-        """Replays `text`; known: receives the recovery records, which are ignored without it."""
-        self._recoveries = RecoveryRecords(0) if known is None else known
+    def __init__(self, text: bytes, recovery_records: RecoveryRecords | None = None) -> None:
+        """Replays `text`; recovery_records receives the recovery records, which are ignored without it."""
+        self._recoveries = RecoveryRecords(0) if recovery_records is None else recovery_records
         self.entries: dict[str, LedgerEntry] = {}
         self.ended: dict[str, None] = {}
         self.waits: dict[str, float] = {}
--- a/birchstack/net/machine.py
+++ b/birchstack/net/machine.py
@@ -118,19 +118,19 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        door: socket.socket,
+        listening: socket.socket,
         protocol: Callable[[], asyncio.BufferedProtocol],
         max_accepting: int,
         on_exhausted: Callable[[], None],
     ) -> None:
-        door.setblocking(False)
+        listening.setblocking(False)
         self._loop = loop
-        self._socket = door
+        self._socket = listening
         self._protocol = protocol
         self._on_exhausted = on_exhausted
         self._max_accepting = max_accepting
         self._accepting: set[asyncio.Task] = set()  # accepted, but not yet passed to their protocols
-        self.sockets: tuple[socket.socket, ...] = (door,)
+        self.sockets: tuple[socket.socket, ...] = (listening,)
         self._resume()
 
     def is_serving(self) -> bool:
