--- a/tests/test_recoveries.py
+++ b/tests/test_recoveries.py
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(("cut", "stage"), [(1, DOWN), (15, DOWN), (19, DOWN), (20, None), (40, None)])
 def test_a_torn_only_record_keeps_its_stage_if_its_name_is_intact(cut, stage):
     disk = Disk()
-    ledger_on(disk).remember(1000.0, Recovery("s-1", DOWN, 0.0, 40, 10000.0))
+    ledger_on(disk).record_recovery(1000.0, Recovery("s-1", DOWN, 0.0, 40, 10000.0))
     del disk.files["ledger"][-cut:]
     found = recovered_state(disk, 5000.0)
     assert (found and found.stage) == stage
