--- a/benchmarks/capacity/recoveries.py
+++ b/benchmarks/capacity/recoveries.py
@@ -57,7 +57,7 @@
     for recalled in StoredEndpointStates(ledger, AdministrativeStates(folder, lambda: 0.0)).pop_listed(
         60_000.0, listed
     ):
-        sender.recover(0.0, recalled.recovery)
+        sender.restore_recovery(0.0, recalled.recovery)
     ledger.close()
     return read_s
 
--- a/tests/test_recoveries.py
+++ b/tests/test_recoveries.py
@@ -244,7 +244,7 @@
 def test_a_wait_reported_again_by_other_senders_changes_no_stage():
     story = Story()
     for number in range(3):
-        story.sender.reported(story.now, our.Report("a", wait_ms=5000.0 + 1000.0 * number))
+        story.sender.report_received(story.now, our.Report("a", wait_ms=5000.0 + 1000.0 * number))
     assert [each.stage for each in story.remembered] == [DOWN]
 
 
@@ -259,10 +259,10 @@
 def restarted(recovery, found=0):
     """A sender that starts with a stored recovery state and `found` documents from the process before."""
     story = Story(slots=40, senders=30)  # many, so that its own rate counts and not its share of the minimum
-    story.sender.recover(story.now, recovery)
+    story.sender.restore_recovery(story.now, recovery)
     for number in range(found):
-        past = our.Past(sent=0)
-        story.sender.document(story.now, our.Submission(f"d{number}", 1, "sync", 20000.0, past=past))
+        history = our.History(sent=0)
+        story.sender.document(story.now, our.Submission(f"d{number}", 1, "sync", 20000.0, history=history))
     story.sender.turn(story.now)
     return story
 
@@ -284,7 +284,7 @@
     for seed in range(20):
         story = Story(senders=senders)
         story.sender._draw = random.Random(seed).uniform
-        story.sender.recover(0.0, Recovery("a", DOWN, 0.0, 1, 3.6e6))
+        story.sender.restore_recovery(0.0, Recovery("a", DOWN, 0.0, 1, 3.6e6))
         story.take("d")
         assert not story.calls
         story.at(10_000.0)
@@ -318,6 +318,6 @@
 
 def test_the_state_of_an_unlisted_endpoint_is_ignored():
     story = Story()
-    story.sender.recover(story.now, Recovery("other", DOWN))
+    story.sender.restore_recovery(story.now, Recovery("other", DOWN))
     story.take("d")
     assert story.calls == [("d", "a")]
