--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -559,7 +559,7 @@
     def _figures(self) -> Metrics:
         out = self._by_hand.disabled
         avoided = sum(name in self._list.entries for name in out) + sum(
-            name not in out for name in self._core.avoided()
+            name not in out for name in self._core.ejected_endpoints()
         )
         held = len(self._overflow or ()) + sum(owed.notice is None for owed in self._ledger.entries.values())
         return Metrics(
--- a/tests/test_recoveries.py
+++ b/tests/test_recoveries.py
@@ -237,7 +237,7 @@
         story.take(f"d{number}")
         story.at(story.now + 300.0)
         end_calls(story, our.ERROR)
-    assert story.sender.avoided() == ["a", "b"]
+    assert story.sender.ejected_endpoints() == ["a", "b"]
     assert sorted((each.endpoint, each.stage) for each in story.remembered) == [("a", DOWN), ("b", DOWN)]
 
 
@@ -275,7 +275,7 @@
 
 def test_an_endpoint_that_was_down_gets_one_call_and_not_at_once():
     story = restarted(Recovery("a", DOWN, 5000.0, 20, 10_000.0), found=15)
-    assert not story.calls and story.sender.avoided() == ["a"]
+    assert not story.calls and story.sender.ejected_endpoints() == ["a"]
     assert calls_by(story, 5000.0) == 1
 
 
@@ -307,7 +307,7 @@
     fresh = Story(slots=40)
     fresh.back([f"d{number}" for number in range(15)])
     (dest,) = fresh.sender._destinations.values()
-    assert dest.taken == 15, "without a known rate they are the only estimate"
+    assert dest.received == 15, "without a known rate they are the only estimate"
 
 
 def test_nothing_is_held_back_if_no_endpoint_was_unavailable():
