--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -43,7 +43,7 @@
         from birchstack.backlog import maker, settings
     except ModuleNotFoundError as problem:
         raise ConfigError(f"BALANCER_BACKLOG: {problem.name} is missing (the extra `backlog`)") from problem
-    sockets = min(config.sockets, Machine().descriptors()) - maker.DESCRIPTORS
+    sockets = min(config.sockets, Machine().max_descriptors()) - maker.DESCRIPTORS
     if sockets < 64:
         raise ConfigError(f"limits.sockets: the backlog needs {maker.DESCRIPTORS}, which leaves {sockets}")
     return dataclasses.replace(config, sockets=sockets), maker.maker(settings.load(path))
@@ -61,7 +61,7 @@
     """Runs the sender until it is told to end. Returns the exit status: 2 if the configuration is wrong."""
     # Blocked until the event loop handles it: its default action would end the process
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
-    log.start()
+    log.configure()
     try:
         config, audit = _audit_log(load())
         config, store = _store(config)
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -23,8 +23,8 @@
 from birchstack.keeper.store import Store
 from birchstack.net.discovery import Watch
 from birchstack.net.driver import parse_address
-from birchstack.net.log import say
-from birchstack.net.machine import LastingClock, Machine
+from birchstack.net.log import log_event
+from birchstack.net.machine import Machine, PersistentClock
 
 COMMIT_DELAY_S = 0.1  # answers that arrive within this time share one transaction
 WRITE_RETRY_S = 5.0  # no polls for this long after a failed write
@@ -42,7 +42,7 @@
         loop: asyncio.AbstractEventLoop,
         store: Store,
         machine: Machine,
-        clock: LastingClock,
+        clock: PersistentClock,
         rng: random.Random,
     ) -> None:
         self._config = config
@@ -81,7 +81,7 @@
                 self._loop, parse_address(self._config.lists.at), (), lambda mode, listed: None, self._on_list
             )
             self._watch.start({})
-        say(
+        log_event(
             log,
             "keeping",
             name=self._config.name,
@@ -104,11 +104,11 @@
             if timer:
                 timer.cancel()
         self._commit()
-        say(log, "ended", **self._counts, **self._relay.counts)
+        log_event(log, "ended", **self._counts, **self._relay.counts)
         self.finished.set_result(None)
 
     def _log_counts(self) -> None:
-        say(log, "state", out=len(self._polls), **self._counts, **self._relay.counts)
+        log_event(log, "state", out=len(self._polls), **self._counts, **self._relay.counts)
         self._loop.call_later(LOG_INTERVAL_S, self._log_counts)
 
     # Polling
@@ -147,7 +147,7 @@
             )
         if answer is None:
             self._counts["failed"] += 1
-            log.debug("no answer", extra={"words": {"at": audit_address, "problem": problem}})
+            log.debug("no answer", extra={"fields": {"at": audit_address, "problem": problem}})
             self._schedule.failed(audit_address, now)
         else:
             self._counts["answered"] += 1
@@ -193,7 +193,7 @@
         self._counts["commits_failed"] += 1
         self._paused_until = self._loop.time() + WRITE_RETRY_S
         if self._counts["commits_failed"] in (1, 10, 100) or self._counts["commits_failed"] % 1000 == 0:
-            say(
+            log_event(
                 log,
                 "the store cannot be written",
                 logging.ERROR,
@@ -225,7 +225,7 @@
         for sender, (what, evidence, since_ms) in verdicts.items():
             if self._verdicts.get(sender, lag.WELL) != what:
                 self._store.add_verdict(sender, what, evidence, since_ms, now)
-                say(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
+                log_event(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
                 self._schedule_commit()
             self._verdicts[sender] = what
 
@@ -281,8 +281,8 @@
         loop,
         store,
         machine,
-        LastingClock(machine, machine.folder(folder)),
-        random.Random(machine.unique()),
+        PersistentClock(machine, machine.folder(folder)),
+        random.Random(machine.unique_name()),
     )
     collector.start()
     try:
--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -16,7 +16,7 @@
 from birchstack import interface
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
-from birchstack.net.log import holds, say
+from birchstack.net.log import check_invariant, log_event
 
 PATH = "/hook"
 # After these a connection may stay idle for the next call
@@ -226,7 +226,7 @@
     ) -> None:
         """Determines the outcome of the call; keep: whether the connection can serve another call."""
         call, answer = self._call, self._answer
-        if not holds(call, "a call ends exactly once"):
+        if not check_invariant(call, "a call ends exactly once"):
             return
         self._call = None
         self._stop_timer()
@@ -297,7 +297,7 @@
         """Counts malformed responses; logs the first three and then each thousandth."""
         self._malformed_count += 1
         if self._malformed_count <= 3 or self._malformed_count % 1000 == 0:
-            say(
+            log_event(
                 log,
                 "spoilt answer",
                 logging.WARNING,
@@ -322,7 +322,7 @@
 
     def begin(self, call: Call) -> bool:
         """Assigns a connection to a call: True if an idle one is ready, False if one is dialled."""
-        holds(call.doc_id not in self._busy, "a document has at most one transmission in flight")
+        check_invariant(call.doc_id not in self._busy, "a document has at most one transmission in flight")
         call.started = self._clock()
         connection = self._take_idle(call.endpoint) or EndpointConnection(
             self, call.endpoint, self.addresses[call.endpoint]
--- a/birchstack/net/front.py
+++ b/birchstack/net/front.py
@@ -15,7 +15,7 @@
 
 from birchstack.net import http1
 from birchstack.net.driver import Link
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Listener, Machine
 from birchstack.net.room import max_accepting
 
@@ -341,7 +341,7 @@
         """Counts an incident; the first three of a kind are logged."""
         self.counts[what] = self.counts.get(what, 0) + 1
         if self.counts[what] <= 3:
-            say(log, what, logging.WARNING)
+            log_event(log, what, logging.WARNING)
 
     def register(self, client: ClientConnection) -> None:
         """Registers a connection; beyond the limit, another one is closed or this one is refused."""
@@ -428,7 +428,7 @@
         """
         if not self._listener:
             return
-        quiet = 0 if self._machine.knocked(self._listener) else quiet + 1
+        quiet = 0 if self._machine.has_pending(self._listener) else quiet + 1
         if quiet < QUIET_PASSES:
             self._loop.call_later(0.0, self.stop_listening, quiet)
         else:
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -18,8 +18,8 @@
 
 from birchstack.decide import CALL_MS, Sender
 from birchstack.net.front import ACCEPTED, REJECTED, UNAVAILABLE, ClientRequest
-from birchstack.net.ledger import Ledger, Owed
-from birchstack.net.log import say
+from birchstack.net.ledger import Ledger, LedgerEntry
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
 MAX_DESTINATIONS = 16  # read in one turn
@@ -123,7 +123,7 @@
         core: Sender,
         wall: float,
         loop: asyncio.AbstractEventLoop,
-        submit: Callable[[float, Owed, str | None], object],
+        submit: Callable[[float, LedgerEntry, str | None], object],
         schedule_turn: Callable[[], None],
     ) -> None:
         self._store, self._window, self._make_document = opened
@@ -133,8 +133,8 @@
         self._schedule_turn = schedule_turn
         self._loop = loop
         self._started_at = wall
-        self._store.drop([*ledger.ended, *ledger.owed])
-        ledger.freed = self.freed
+        self._store.drop([*ledger.ended, *ledger.entries])
+        ledger.on_freed = self.freed
         self._pending: dict[str, ClientRequest] = {}  # accepted in this turn, not recorded yet
         self._pending_counts: dict[int, int] = {}  # of those, by destination
         self._stored = dict.fromkeys(self._store.destinations())  # destinations with documents on disk
@@ -151,7 +151,7 @@
 
     def holds(self, doc_id: str) -> bool:
         """True if the document is in the ledger or in the store."""
-        return doc_id in self._ledger.owed or self._store.holds(doc_id)
+        return doc_id in self._ledger.entries or self._store.holds(doc_id)
 
     def admit(
         self, now: float, request: ClientRequest, age_ms: float, advice_ms: float
@@ -165,7 +165,7 @@
         size = len(request.body)
         ahead = self._store.waiting(destination)[0] + self._pending_counts.get(destination, 0)
         room = self._core.documents_wanted(destination, self._window, len(self._stored), ahead)
-        if not ahead and room > 0 and self._ledger.fits([size]):
+        if not ahead and room > 0 and self._ledger.has_space([size]):
             return None
         if back_ms := self._core.overflow_retry_after_ms(
             now, destination, request.remaining_ms - age_ms, ahead
@@ -224,7 +224,7 @@
                     self._to_read.pop(destination, None)
             self._housekeeping_due = self._housekeeping_due and self._store.step()
         except OSError as problem:
-            say(log, "backlog not read", logging.ERROR, problem=problem)
+            log_event(log, "backlog not read", logging.ERROR, problem=problem)
             self._timer = self._loop.call_later(RETRY_S, self._schedule_turn)
             return
         if more or self._to_read or self._housekeeping_due:
@@ -269,7 +269,7 @@
         limit = min(MAX_READ, self._room(destination))
         moved: list[StoredDocument] = []
         for document in self._store.read(destination, limit) if limit > 0 else ():
-            if not self._ledger.fits([len(document.body)]):
+            if not self._ledger.has_space([len(document.body)]):
                 break
             self._move(document)
             moved.append(document)
@@ -283,7 +283,7 @@
 
     def _move(self, document: StoredDocument) -> None:
         """Writes a document of the store to the ledger."""
-        owed = self._ledger.take(
+        owed = self._ledger.add(
             document.id,
             document.type,
             document.destination,
@@ -292,7 +292,7 @@
             document.body,
             document.repeat_key,
         )
-        owed.found = document.taken < self._started_at
+        owed.recovered = document.taken < self._started_at
 
     def _submit_moved(self, now: float, document: StoredDocument) -> None:
-        self._submit(now, self._ledger.owed[document.id], document.tenant)
+        self._submit(now, self._ledger.entries[document.id], document.tenant)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,7 +11,7 @@
 import pytest
 from fake import OK_200, answer, play, post, read_message
 
-from birchstack.net.machine import PAUSE_S, Listener
+from birchstack.net.machine import ACCEPT_PAUSE_S, Listener
 from birchstack.net.room import RESERVED_DESCRIPTORS, divide_descriptors
 
 DESCRIPTOR_LIMIT = 100
@@ -191,7 +191,7 @@
                 loop, door, lambda: accepted.append(1) or asyncio.Protocol(), 2, lambda: reported.append(1)
             )
             clients = [socket.create_connection(door.getsockname()) for _ in range(9)]
-            await asyncio.sleep(4.5 * PAUSE_S)
+            await asyncio.sleep(4.5 * ACCEPT_PAUSE_S)
             assert 1 <= door.tried == len(reported) <= 5 and not accepted
             door.none = False
             async with asyncio.timeout(2.0):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -37,7 +37,9 @@
 def node(tmp_path, monkeypatch):
     """A sender that does not listen yet; violated invariants are only collected, as in release builds."""
     broken = []
-    monkeypatch.setattr(module, "holds", lambda what, text: bool(what) or broken.append(text) or False)
+    monkeypatch.setattr(
+        module, "check_invariant", lambda what, text: bool(what) or broken.append(text) or False
+    )
 
     async def make():
         node = module.Node(decode(config(tmp_path), {}), asyncio.get_running_loop())
@@ -61,7 +63,7 @@
         node._turn()
         node._log_state()
         assert request.replies == [(ACCEPTED, 0.0)] and gone.replies == [(UNAVAILABLE, 0.0)]
-        assert [*node._ledger.owed] == ["d"] and request.remaining_ms == 4960.0
+        assert [*node._ledger.entries] == ["d"] and request.remaining_ms == 4960.0
 
     node.run(story)
 
@@ -72,7 +74,7 @@
         request = FakeRequest()
         node._events.append((node._accept, request))
         node._turn()
-        assert request.replies == [(UNAVAILABLE, 3000.0)] and not node._ledger.owed and node.broken
+        assert request.replies == [(UNAVAILABLE, 3000.0)] and not node._ledger.entries and node.broken
 
     node.run(story)
 
@@ -84,17 +86,17 @@
         node._core.turn = fault
         time.sleep(0.5)  # the process stalls
         node._end_overdue()
-        assert node._ledger.owed["d"].notice is None  # the decision logic has had no turn since then
+        assert node._ledger.entries["d"].notice is None  # the decision logic has had no turn since then
         node._turn()
         node._end_overdue()
-        assert node._ledger.owed["d"].notice == ("dead", 0.0) and node.broken
+        assert node._ledger.entries["d"].notice == ("dead", 0.0) and node.broken
 
     node.run(story)
 
 
 def test_a_ledger_that_cannot_be_written_accepts_and_sends_nothing(node, monkeypatch):
     async def story():
-        monkeypatch.setattr(node._ledger, "take", lambda *words: (_ for _ in ()).throw(OSError("full")))
+        monkeypatch.setattr(node._ledger, "add", lambda *words: (_ for _ in ()).throw(OSError("full")))
         request = FakeRequest()
         node._events.append((node._accept, request))
         node._turn()
@@ -119,7 +121,7 @@
             node._turn()
         assert [*node._calls.addresses] == [*node._list.entries] == [*node._core._endpoints] == ["e5999"]
         assert len(node._list._destinations) <= 4096 and len(node._core._destinations) < 100
-        assert node._list.serves(5999) and not node._list.serves(70000)
+        assert node._list.is_known(5999) and not node._list.is_known(70000)
 
     node.run(story)
 
@@ -131,10 +133,10 @@
             node._events.append((node._accept, request))
             node._turn()
             node._enqueue(node._core.withdrawn, request.id)
-            if request.id in node._ledger.owed:
-                node._ledger.done(node._ledger.owed[request.id])
+            if request.id in node._ledger.entries:
+                node._ledger.finish(node._ledger.entries[request.id])
         node._turn()
-        assert len(node._answers) <= 4096 and not node._ledger.owed and not node._core._held
+        assert len(node._answers) <= 4096 and not node._ledger.entries and not node._core._held
         assert len(node._core._last_starts) < 5000 and not node._pending and not node._starting
 
     node.run(story)
@@ -160,12 +162,12 @@
         )
         node._core.reconfigure(0.0, dataclasses.replace(node._config.settings, types=(kind,)))
         node._client_server.types["order"], wall = 20000.0, node._lasting.ms()
-        owed = node._ledger.take("d", "order", 1, None, wall + 9000.0, b"x")
-        node._ledger.call(owed, "a", wall - 700.0)  # in flight when its process ended
+        owed = node._ledger.add("d", "order", 1, None, wall + 9000.0, b"x")
+        node._ledger.record_transmission(owed, "a", wall - 700.0)  # in flight when its process ended
         node._ledger.close()
         node._ledger = Ledger(node._folder, 3_000_000)
         node._on_list(interface.WHOLE, [listed("e1", interface.READY, 9)])
-        node._recover(node._ledger.owed)
+        node._recover(node._ledger.entries)
         turn, written_calls = node._core.turn, []
         # a long turn: many documents, a slow processor
         node._core.turn = lambda now: (turn(now), time.sleep(0.4))
@@ -195,6 +197,6 @@
         node._events.append((node._accept, FakeRequest(remaining_ms=5040.0)))
         node._turn()
         assert steady == 5_000_400.0
-        assert node._ledger.owed["d"].expiry == pytest.approx(began + 5000.0, rel=0.0, abs=0.001)
+        assert node._ledger.entries["d"].expiry == pytest.approx(began + 5000.0, rel=0.0, abs=0.001)
 
     node.run(story)
