--- a/birchstack/fleet/__init__.py
+++ b/birchstack/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet of senders knows of itself: versions, trails of what each acted on, and questions."""
+"""Audit trail of each sender, versions of what senders act on, lag detection and exchange of signals."""
--- a/birchstack/fleet/audit_files.py
+++ b/birchstack/fleet/audit_files.py
@@ -1,14 +1,14 @@
-"""The audit log on disk: its files in the folder that lasts, and what a full or broken disk does to them.
+"""The audit trail on disk: its files in the persistent folder, and the handling of a full or failing disk.
 
-Owns the files `trail-*`. Must never raise into what it records: a disk that fails loses trail, never a
-document, and the loss is itself recorded once there is room. Writes through net.machine.Folder, the
-emulator's seam.
+Owns the files `trail-*`. Must never raise into the sender whose actions it records: a failing disk loses
+audit records, never a document, and the loss is itself recorded once writing works again. Writes through
+net.machine.Folder, which the emulator replaces.
 
     trail-NAME-FIRST        one segment, by the number of its first record
-    trail-NAME-LAST-folded  what the oldest segments came to, up to the record LAST. Never written over: a
-                            rename onto a file that is there may wait for the disk
-    trail-sound             there while every record was kept; taken away (which needs no room) at the first
-                            that was not, so that a process killed before there is room again leaves a sign
+    trail-NAME-LAST-folded  totals of the compacted segments up to the record LAST. Never overwritten: a
+                            rename onto an existing file may wait for the disk
+    trail-sound             exists while every record was stored; removed (which needs no space) at the first
+                            that was not, so that a process killed before space is free again leaves a marker
 """
 
 from __future__ import annotations
@@ -25,62 +25,71 @@
     Gap,
     Life,
     Record,
-    frame_of_folded,
+    compacted_frame,
     scan,
     time_of,
 )
-from birchstack.fleet.trail import Trail
+from birchstack.fleet.trail import AuditTrail
 from birchstack.net.log import say
 from birchstack.net.machine import Folder
 
-PREFIX, FOLDED, SOUND = "trail-", "-folded", "trail-sound"
-AGAIN_MS = 500.0  # a disk that failed is tried again so much later
+PREFIX = "trail-"
+COMPACTED_SUFFIX = "-folded"
+COMPLETE_MARKER = "trail-sound"
+RETRY_DELAY_MS = 500.0  # time after which a failed disk is tried again
 log = logging.getLogger(__name__)
 
 
 class AuditFiles:
-    """trail: as it is on disk, kept in memory too."""
+    """Stores records on disk; trail: the stored records, also in memory."""
 
     def __init__(self, folder: Folder, limit: int, unique: Callable[[], str]) -> None:
-        self._folder, self._limit = folder, limit
+        self._folder = folder
+        self._limit = limit
         self._handle = -1
-        self._lost: list[Record] = []  # not kept: no acts among them, the last of each kind
-        self._lost_calls, self._lost_from = 0, 0.0
-        self._again_at = 0.0
-        self._doubtful: list[Gap] = []  # found at the start, recorded after the Life
+        self._unwritten: list[Record] = []  # records not stored: no turns, and the last adoption of each kind
+        self._unwritten_calls = 0
+        self._failing_since_ms = 0.0
+        self._retry_at_ms = 0.0
+        self._recovered_gaps: list[Gap] = []  # found at the start, recorded after the start of the process
         self.trail = self._recover(unique)
 
-    # At the start
+    # Recovery at the start
 
-    def _recover(self, unique: Callable[[], str]) -> Trail:
+    def _recover(self, unique: Callable[[], str]) -> AuditTrail:
+        """Restore the trail from the files; a new one is named by unique()."""
         try:
             names = sorted(
                 name
                 for name in self._folder.names()
-                if name.startswith(PREFIX) and not name.endswith(".new") and name != SOUND
+                if name.startswith(PREFIX) and not name.endswith(".new") and name != COMPLETE_MARKER
             )
         except OSError:
             names = []
-        owners = sorted({name[len(PREFIX) :].partition("-")[0] for name in names})
-        if not owners:
-            self._mark_sound()
-            return Trail(unique(), self._limit)
-        if len(owners) > 1:
+        trail_names = sorted({name[len(PREFIX) :].partition("-")[0] for name in names})
+        if not trail_names:
+            self._mark_complete()
+            return AuditTrail(unique(), self._limit)
+        if len(trail_names) > 1:
             say(
-                log, "several trails in one folder", logging.ERROR, names=",".join(owners), goes_on=owners[-1]
+                log,
+                "several audit trails in one folder",
+                logging.ERROR,
+                names=",".join(trail_names),
+                goes_on=trail_names[-1],
             )
-        trail = Trail(owners[-1], self._limit)
-        mine = [name for name in names if name.startswith(f"{PREFIX}{trail.name}-")]
-        for name in reversed([name for name in mine if name.endswith(FOLDED)]):
-            if trail.folded:  # older totals: a process ended before they went
+        trail = AuditTrail(trail_names[-1], self._limit)
+        own_files = [name for name in names if name.startswith(f"{PREFIX}{trail.name}-")]
+        for name in reversed([name for name in own_files if name.endswith(COMPACTED_SUFFIX)]):
+            if trail.compacted:  # older totals, left by a process that ended before it removed them
                 self._unlink(name)
             else:
-                self._take_folded(trail, name)
-        for name in mine:
-            if not name.endswith(FOLDED):
-                self._take(trail, name)
-        if not self._exists(SOUND):
-            self._doubtful.append(Gap(trail.last_ms, 0.0, "the disk was full when a process ended"))
+                self._restore_compacted(trail, name)
+        for name in own_files:
+            if not name.endswith(COMPACTED_SUFFIX):
+                self._restore_segment(trail, name)
+        if not self._exists(COMPLETE_MARKER):
+            self._recovered_gaps.append(Gap(trail.last_ms, 0.0, "the disk was full when a process ended"))
         return trail
 
     def _exists(self, name: str) -> bool:
@@ -93,54 +102,59 @@
         with contextlib.suppress(OSError):
             self._folder.unlink(name)
 
-    def _take_folded(self, trail: Trail, name: str) -> None:
+    def _restore_compacted(self, trail: AuditTrail, name: str) -> None:
         with contextlib.suppress(OSError):
             for each in scan(self._folder.read(name)):
                 if not isinstance(each, Damage) and isinstance(record := each.record(), Folded):
-                    trail.take_folded(record)
+                    trail.restore_compacted(record)
                     return
-        say(log, "the trail's totals cannot be read", logging.ERROR, file=name)
+        say(log, "compacted audit records unreadable", logging.ERROR, file=name)
 
-    def _take(self, trail: Trail, name: str) -> None:
-        """A segment's good frames. Rot is cut out, told once, and leaves a jump of numbers."""
+    def _restore_segment(self, trail: AuditTrail, name: str) -> None:
+        """Restore the valid frames of a segment.
+
+        Corrupted ranges are cut out and reported once; they leave a jump in the record numbers.
+        """
         try:
             data = self._folder.read(name)
         except OSError as problem:
-            say(log, "a segment of the trail cannot be read", logging.ERROR, file=name, problem=problem)
+            say(log, "audit segment unreadable", logging.ERROR, file=name, problem=problem)
             return
         first = int(name.rpartition("-")[2])
-        if trail.folded and first <= trail.folded.last:  # folded, and a process ended before it went
+        if (
+            trail.compacted and first <= trail.compacted.last
+        ):  # left by a process that ended before removing it
             self._unlink(name)
             return
-        trail.begin(first)
-        rotten = torn = False
+        trail.begin_segment(first)
+        corrupted = torn = False
         for each in scan(data):
             if isinstance(each, Damage):
-                rotten, torn = rotten or not each.torn, torn or each.torn
+                corrupted, torn = corrupted or not each.torn, torn or each.torn
                 continue
-            before, expected = trail.last_ms, trail.last + 1
+            last_ms, expected = trail.last_ms, trail.last + 1
             if each.number < expected:
-                self._doubtful.append(Gap(before, before, f"record {each.number} is there twice"))
-                rotten = True
+                self._recovered_gaps.append(Gap(last_ms, last_ms, f"record {each.number} is there twice"))
+                corrupted = True
                 continue
-            if not trail.take(each):
-                until = time_of(each.record()) or before
-                lost = each.number - expected
-                self._doubtful.append(
+            if not trail.restore_frame(each):
+                until_ms = time_of(each.record()) or last_ms
+                missing = each.number - expected
+                self._recovered_gaps.append(
                     Gap(
-                        before,
-                        until,
-                        f"rot: {lost} records from {expected}"
-                        if lost
+                        last_ms,
+                        until_ms,
+                        f"rot: {missing} records from {expected}"
+                        if missing
                         else f"altered at record {each.number}",
                     )
                 )
-                rotten = True
+                corrupted = True
         if torn:
-            say(log, "the trail's last record was not whole", file=name)
-        if rotten:
-            say(log, "rot in the trail", logging.ERROR, file=name)
-        if rotten or torn:
+            say(log, "last audit record incomplete", file=name)
+        if corrupted:
+            say(log, "audit segment corrupted", logging.ERROR, file=name)
+        if corrupted or torn:
             with contextlib.suppress(OSError):
                 self._folder.write(name + ".new", bytes(trail.segments[-1].data))
                 self._folder.rename(name + ".new", name)
@@ -150,65 +164,69 @@
     # Writing
 
     def write(self, record: Record, now_ms: float) -> bool:
-        """Keeps the record: True once it is in its file, before the caller does what it speaks of."""
-        if self._lost_from and not self._recovered(now_ms) or not self._keep(record):
-            self._lose(record, now_ms)
+        """Store a record, before the caller does what it describes. Returns whether it was stored."""
+        if self._failing_since_ms and not self._try_recovery(now_ms) or not self._store(record):
+            self._remember_unwritten(record, now_ms)
             return False
         if type(record) is Life:
-            known = self.trail.gaps()  # rot that was cut out still shows as a jump of numbers
-            for gap in self._doubtful:
+            known = self.trail.recorded_gaps()  # corruption that was cut out still shows as a jump of numbers
+            for gap in self._recovered_gaps:
                 if (gap.from_ms, gap.why) not in known:
-                    self._keep(Gap(gap.from_ms, gap.to_ms or now_ms, gap.why, gap.calls))
-            self._doubtful.clear()
-            self._mark_sound()
+                    self._store(Gap(gap.from_ms, gap.to_ms or now_ms, gap.why, gap.calls))
+            self._recovered_gaps.clear()
+            self._mark_complete()
         return True
 
-    def _keep(self, record: Record) -> bool:
+    def _store(self, record: Record) -> bool:
+        """Append a record to the current file. Returns whether it was stored."""
         trail = self.trail
         full = not trail.segments or len(trail.segments[-1].data) >= trail.segment_bytes
         if (full or self._handle < 0) and not self._rotate():
             return False
-        data, chain = trail.frame(record)
+        data, chain = trail.encode_frame(record)
         try:
             if self._folder.append(self._handle, data) < len(data):
-                raise OSError("no room")
+                raise OSError("incomplete write, no space left")
         except OSError as problem:
             say(log, "a record of the trail was not kept", logging.ERROR, problem=problem)
-            self._close()  # what was half written lies at a file's end, where it counts as torn
+            self._close()  # the incomplete frame is then at the end of a file, where it counts as torn
             return False
-        trail.put(record, data, chain)
+        trail.append(record, data, chain)
         return True
 
     def _rotate(self) -> bool:
-        """A new file for what comes next; the oldest is folded where there would be too much."""
+        """Begin a new file, compacting the oldest segments if necessary. Returns whether it was opened."""
         trail = self.trail
         self._close()
         try:
             self._handle = self._folder.open(f"{PREFIX}{trail.name}-{trail.last + 1:012d}", fresh=True)
         except OSError as problem:
-            say(log, "no file for the trail", logging.ERROR, problem=problem)
+            say(log, "audit segment not created", logging.ERROR, problem=problem)
             return False
         if not trail.segments or trail.segments[-1].numbers:
-            trail.begin()
-        while trail.too_much() and self._fold():
+            trail.begin_segment()
+        while trail.needs_compaction() and self._compact():
             pass
         return True
 
-    def _fold(self) -> bool:
-        """The totals first, then the segment goes: at any moment between, the start finds both or one."""
+    def _compact(self) -> bool:
+        """Compact the oldest segment. Returns whether the totals were stored.
+
+        Stores the totals before it removes the segment: a restart in between finds both or one of them.
+        """
         trail = self.trail
-        folded = trail.fold()
-        name = f"{PREFIX}{trail.name}-{folded.last:012d}{FOLDED}"
+        compacted = trail.compact_oldest()
+        name = f"{PREFIX}{trail.name}-{compacted.last:012d}{COMPACTED_SUFFIX}"
         try:
-            self._folder.write(name + ".new", frame_of_folded(folded))
+            self._folder.write(name + ".new", compacted_frame(compacted))
             self._folder.rename(name + ".new", name)
-        except OSError as problem:  # over the bound for now; tried again with the next segment
-            say(log, "the trail was not folded", logging.ERROR, problem=problem)
+        except OSError as problem:  # exceeds the size limit for now; retried with the next segment
+            say(log, "audit segment not compacted", logging.ERROR, problem=problem)
             return False
-        if trail.folded:
-            self._unlink(f"{PREFIX}{trail.name}-{trail.folded.last:012d}{FOLDED}")
-        gone = trail.folds(folded)
-        self._unlink(f"{PREFIX}{trail.name}-{gone.first:012d}")
+        if trail.compacted:
+            self._unlink(f"{PREFIX}{trail.name}-{trail.compacted.last:012d}{COMPACTED_SUFFIX}")
+        removed = trail.apply_compaction(compacted)
+        self._unlink(f"{PREFIX}{trail.name}-{removed.first:012d}")
         return True
 
     def _close(self) -> None:
@@ -217,52 +235,57 @@
                 self._folder.close(self._handle)
             self._handle = -1
 
-    def _mark_sound(self) -> None:
+    def _mark_complete(self) -> None:
         with contextlib.suppress(OSError):
-            self._folder.write(SOUND, b"")
+            self._folder.write(COMPLETE_MARKER, b"")
 
-    # A disk that fails
+    # Failing disk
 
-    def _lose(self, record: Record, now_ms: float) -> None:
-        if not self._lost_from:
-            self._lost_from = now_ms
+    def _remember_unwritten(self, record: Record, now_ms: float) -> None:
+        """Remember a record that could not be stored; of turns only the number of calls."""
+        if not self._failing_since_ms:
+            self._failing_since_ms = now_ms
             with contextlib.suppress(OSError):
-                self._folder.unlink(SOUND)
-        self._again_at = self._again_at or now_ms + AGAIN_MS
+                self._folder.unlink(COMPLETE_MARKER)
+        self._retry_at_ms = self._retry_at_ms or now_ms + RETRY_DELAY_MS
         if isinstance(record, Acted):
-            self._lost_calls += len(record.calls) // 2
+            self._unwritten_calls += len(record.calls) // 2
             return
         if isinstance(record, Adopted):
-            self._lost = [
+            self._unwritten = [
                 each
-                for each in self._lost
+                for each in self._unwritten
                 if not (isinstance(each, Adopted) and each.version.kind == record.version.kind)
             ]
-        self._lost.append(record)
+        self._unwritten.append(record)
 
-    def _recovered(self, now_ms: float) -> bool:
-        """Tries the disk again: the gap first, then what was adopted in it."""
-        if now_ms < self._again_at:
+    def _try_recovery(self, now_ms: float) -> bool:
+        """Try the disk again: record the gap first, then what was adopted during it. Returns the success."""
+        if now_ms < self._retry_at_ms:
             return False
-        self._again_at = now_ms + AGAIN_MS
-        lives = [each for each in self._lost if isinstance(each, Life)]
-        gap = Gap(self._lost_from, now_ms, "the disk failed", self._lost_calls)
-        for each in [*lives, gap, *(each for each in self._lost if not isinstance(each, Life))]:
-            if not self._keep(each):
+        self._retry_at_ms = now_ms + RETRY_DELAY_MS
+        starts = [each for each in self._unwritten if isinstance(each, Life)]
+        gap = Gap(self._failing_since_ms, now_ms, "the disk failed", self._unwritten_calls)
+        for each in [*starts, gap, *(each for each in self._unwritten if not isinstance(each, Life))]:
+            if not self._store(each):
                 return False
-        self._lost.clear()
-        self._lost_calls, self._lost_from, self._again_at = 0, 0.0, 0.0
-        self._mark_sound()
+        self._unwritten.clear()
+        self._unwritten_calls = 0
+        self._failing_since_ms = 0.0
+        self._retry_at_ms = 0.0
+        self._mark_complete()
         return True
 
     def retry(self, now_ms: float) -> None:
-        """A sender that does nothing more must not leave its loss untold."""
-        if self._lost_from:
-            self._recovered(now_ms)
+        """Try a failing disk again, so that a sender without further actions still records its gap."""
+        if self._failing_since_ms:
+            self._try_recovery(now_ms)
 
     @property
     def failing(self) -> bool:
-        return bool(self._lost_from)
+        """Whether records are being lost at the moment."""
+        return bool(self._failing_since_ms)
 
     def close(self) -> None:
+        """Close the current file."""
         self._close()
--- a/birchstack/fleet/audit_log.py
+++ b/birchstack/fleet/audit_log.py
@@ -1,7 +1,7 @@
-"""Writes one sender's audit log, the trail, and answers keepers from it: a net.audit.AuditLog.
+"""Writes one sender's audit log and serves it to collectors: a net.audit.AuditLog.
 
 Owns the order "recorded, then acted on". Must never raise into the sender, and never decide about a document;
-whether a list is taken is versions.judge_list's word.
+whether a list is accepted is decided by versions.judge_list.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
     Contents,
     Version,
     compare,
-    digest_of,
-    digest_of_words,
+    digest_bytes,
+    digest_json,
     judge_list,
 )
 from birchstack.interface import SignalKind
@@ -47,61 +47,73 @@
 
 
 @cache
-def program() -> tuple[Version, Version]:
-    """The program and its decisions, by the bytes of their files."""
+def program_versions() -> tuple[Version, Version]:
+    """Return the versions of the program and of its decisions, by the digests of their source files."""
     root = Path(birchstack.__file__).parent
-    mine = [path for path in sorted(root.rglob("*.py")) if "emulator" not in path.parts]
-    whole = b"".join(digest_of(path.read_bytes()).encode() for path in mine)
+    sources = [path for path in sorted(root.rglob("*.py")) if "emulator" not in path.parts]
+    digests = b"".join(digest_bytes(path.read_bytes()).encode() for path in sources)
     return (
-        Version(PROGRAM, "birchstack", "", None, digest_of(whole)),
-        Version(DECISIONS, "birchstack", "", None, digest_of((root / "decide.py").read_bytes())),
+        Version(PROGRAM, "birchstack", "", None, digest_bytes(digests)),
+        Version(DECISIONS, "birchstack", "", None, digest_bytes((root / "decide.py").read_bytes())),
     )
 
 
 class FleetAuditLog:
-    """The audit log of one process. status: what the sender is at; reported: where others' signals go."""
+    """The audit log of one process.
+
+    status: returns the sender's current status. reported: receives the signals of other senders.
+    """
 
     def __init__(
         self,
-        told: Fleet,
+        settings: Fleet,
         config: Config,
         machine: Machine,
         folder: Folder,
         status: Callable[[], SenderStatus],
         reported: Reported,
     ) -> None:
-        self._told, self._config, self._machine = told, config, machine
-        self._folder, self._status = folder, status
-        self._process, self._boot = machine.unique(), machine.boot()
-        self._files: AuditFiles | None = None  # none while another process holds the folder
+        self._settings = settings
+        self._config = config
+        self._machine = machine
+        self._folder = folder
+        self._status = status
+        self._process = machine.unique()
+        self._boot = machine.boot()
+        self._files: AuditFiles | None = None  # None while another process holds the folder
         self._versions: dict[str, Version] = {}
         self._contents = Contents()
         self._list_ms = 0.0
-        self._waiting: dict[str, Adopted] = {}  # adopted before the folder was this process's
-        self._refused = 0
-        self._signalling: Signalling | None = None  # none where the fleet's file does not ask for it
-        if told.signals:
-            self._signalling = Signalling(told.signals, self._process, machine.steady_ms, reported)
+        self._pending_adoptions: dict[str, Adopted] = {}  # adopted before this process held the folder
+        self._pending_rejections = 0
+        self._signalling: Signalling | None = None  # None if the fleet's settings have no table `signals`
+        if settings.signals:
+            self._signalling = Signalling(settings.signals, self._process, machine.steady_ms, reported)
 
-    # What the sender tells
+    # Called by the sender
 
     def begins(self, holds: bool) -> None:
+        """Record the start of the process once it holds the folder, and adopt the program's versions."""
         if holds:
-            self._files = AuditFiles(self._folder, self._told.trail.bytes, self._machine.unique)
+            self._files = AuditFiles(self._folder, self._settings.trail.bytes, self._machine.unique)
             now, wall = self._machine.steady_ms(), self._machine.wall_ms()
             self._files.write(Life(self._process, self._config.name, self._boot, wall, now), now)
-            for adopted in self._waiting.values():  # acted on from now on
+            for adopted in self._pending_adoptions.values():  # acted on from now on
                 self._files.write(msgspec.structs.replace(adopted, wall_ms=wall, steady_ms=now), now)
-            if self._refused:
-                self._files.write(Acted(now, (), self._refused), now)
-            self._waiting.clear()
+            if self._pending_rejections:
+                self._files.write(Acted(now, (), self._pending_rejections), now)
+            self._pending_adoptions.clear()
             if self._signalling:
                 self._signalling.begins()
         if not self._versions:
-            for version in (*program(), Version(FORM, "birchstack", "", FORMAT, digest_of(b"%d" % FORMAT))):
+            for version in (
+                *program_versions(),
+                Version(FORM, "birchstack", "", FORMAT, digest_bytes(b"%d" % FORMAT)),
+            ):
                 self._adopt(version, FIRST, "start")
 
     def _adopt(self, version: Version, order: str, source: str, taken: bool = True) -> None:
+        """Record a received version, and hold it if it is taken."""
         now = self._machine.steady_ms()
         record = Adopted(version, order, source, self._machine.wall_ms(), now, taken)
         if taken:
@@ -109,76 +121,83 @@
         if self._files:
             self._files.write(record, now)
         elif taken:
-            self._waiting[version.kind] = record
+            self._pending_adoptions[version.kind] = record
 
     def settings(self, config: Config, source: str) -> None:
-        words = {
+        """Record the settings if they changed, before they are acted on."""
+        audited = {
             name: value
             for name, value in dataclasses.asdict(config).items()
             if name in ("settings", "idle_ms", "dial_ms", "kinds")
         }
-        version = Version(SETTINGS, "BALANCER_CONFIG", "", config.version, digest_of_words(words))
+        version = Version(SETTINGS, "BALANCER_CONFIG", "", config.version, digest_json(audited))
         held = self._versions.get(SETTINGS)
         order = compare(version, held) if held else FIRST
         if order != SAME:
             self._adopt(version, order, source)
 
-    def told(self, told: dict, source: str) -> bool:
-        contents = Contents() if told.get("all") else self._contents.copy()
-        contents.apply(bool(told.get("all")), told["targets"])
-        version = Version(LIST, source, str(told.get("epoch") or ""), told["rev"], contents.digest())
+    def told(self, received: dict, source: str) -> bool:
+        """Record a received list or change before it is acted on. Returns whether it is accepted."""
+        contents = Contents() if received.get("all") else self._contents.copy()
+        contents.apply(bool(received.get("all")), received["targets"])
+        version = Version(LIST, source, str(received.get("epoch") or ""), received["rev"], contents.digest())
         held = self._versions.get(LIST)
-        verdict = judge_list(version, held, self._told.list.back)
-        if verdict.loud:
+        decision = judge_list(version, held, self._settings.list.back)
+        if decision.warn:
             say(
                 log,
-                "the list told does not follow the one held",
+                "received list does not follow the one held",
                 logging.WARNING,
-                order=verdict.order,
+                order=decision.order,
                 told=version,
                 held=held,
                 source=source,
-                taken=verdict.take,
+                taken=decision.accept,
             )
-        if verdict.order == SAME:
+        if decision.order == SAME:
             self._contents = contents
             return True
-        self._adopt(version, verdict.order, source, verdict.take)
-        if verdict.take:
+        self._adopt(version, decision.order, source, decision.accept)
+        if decision.accept:
             self._contents, self._list_ms = contents, self._machine.steady_ms()
             say(
                 log,
                 "list adopted",
                 version=version,
-                order=verdict.order,
+                order=decision.order,
                 source=source,
                 endpoints=len(contents.states),
             )
-        return verdict.take
+        return decision.accept
 
     def turn(self, calls: list[tuple[str, str]], refused: list[str], failed: list[str]) -> None:
-        if self._files is None:  # a process that waits begins no call
-            self._refused += len(refused) + len(failed)
+        """Record the actions of one turn, before its calls begin."""
+        if self._files is None:  # a process without the folder begins no calls
+            self._pending_rejections += len(refused) + len(failed)
             return
         now = self._machine.steady_ms()
         self._files.write(Acted(now, tuple(chain.from_iterable(calls)), len(refused), tuple(failed)), now)
 
     def observed(self, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
+        """Pass an observation of the decisions on to the other senders, if signals are enabled."""
         if self._signalling:
             self._signalling.observed(endpoint, kind, wait_ms)
 
     def linked(self) -> bool | None:
+        """Return whether signals of other senders arrive; None if signals are disabled."""
         return self._signalling.live() if self._signalling else None
 
     def ended(self) -> None:
+        """Record the orderly end of the process."""
         if self._files:
             now = self._machine.steady_ms()
             self._files.write(Ended(now), now)
             self._files.close()
 
-    # What is asked
+    # Called on the operators' port
 
     def figures(self) -> list[tuple[str, object]]:
+        """Return names and values for the metrics endpoint."""
         held = self._versions.get(LIST)
         now = self._machine.steady_ms()
         return [
@@ -191,20 +210,23 @@
         ]
 
     def _signals(self, status: SenderStatus, body: bytes) -> bytes:
-        """Nothing before this process is ready: its decisions do not know the list yet, and word of what is
-        not listed would be lost."""
+        """Answer a request for signals, with nothing before this process is ready.
+
+        Until then its decisions do not know the list, and evidence on endpoints not listed would be lost.
+        """
         return self._signalling.answer(body) if self._signalling and status.ready else b""
 
     def asked(self, query: dict[str, list[str]], body: bytes) -> Answer:
+        """Answer a collector's request for audit records; body: its request for signals, may be empty."""
         try:
             after, most = (
-                int(query[name][0]) if name in query else usual
-                for name, usual in (("after", 0), ("most", wire.USUAL))
+                int(query[name][0]) if name in query else default
+                for name, default in (("after", 0), ("most", wire.USUAL))
             )
         except ValueError:
-            return Answer(False, "after, most: whole numbers are wanted")
+            return Answer(False, "after, most: must be integers")
         if after < 0 or not 0 <= most <= wire.MOST:
-            return Answer(False, f"after, most: from 0 up, most at most {wire.MOST}")
+            return Answer(False, f"after, most: must not be negative, most at most {wire.MOST}")
         status, files = self._status(), self._files
         if files:
             files.retry(self._machine.steady_ms())
@@ -228,7 +250,7 @@
                     "last": files.trail.last,
                     "chain": files.trail.chain,
                     "failing": files.failing,
-                    "frames": files.trail.piece(after, most),
+                    "frames": files.trail.read_after(after, most),
                 }
                 if files
                 else {}
@@ -237,6 +259,6 @@
         return Answer(True, content=wire.encode(piece))
 
 
-def maker(told: Fleet) -> MakeAuditLog:
-    """For net.sender.Node."""
-    return partial(FleetAuditLog, told)
+def maker(settings: Fleet) -> MakeAuditLog:
+    """Return a factory of audit logs for net.sender.Node."""
+    return partial(FleetAuditLog, settings)
--- a/birchstack/fleet/records.py
+++ b/birchstack/fleet/records.py
@@ -1,4 +1,4 @@
-"""Records of a sender's trail: values to bytes and back, numbered and chained.
+"""Records of a sender's audit trail: encoded to bytes and back, numbered and hash-chained.
 
 Owns the format. Must never touch a file or a clock, or know what follows from a record.
 
@@ -6,12 +6,14 @@
 
     trail   = frame*
     frame   = CE 5A length:u32 number:u64 chain:16 sum:u32 payload      sum: CRC-32 of all but itself
-    payload = MessagePack array [tag, ...]                              the classes here
-    chain   = BLAKE2b-128(chain of the frame before, number, payload); before the first: 16 zero bytes
+    payload = MessagePack array [tag, ...]                              the classes of this module
+    chain   = BLAKE2b-128(chain of the previous frame, number, payload); before the first: 16 zero bytes
 
-The sum tells damage where the frame before is not at hand; the chain tells that nothing in between was
-changed, left out or written twice. A frame that does not check is torn where no good one follows it (a
-process ended while it wrote: normal, at the end of a life), and rot where one does.
+The checksum detects damage where the previous frame is not available. The chain detects that records between
+two frames were changed, left out or written twice. An invalid frame counts as torn if no valid frame follows
+(the process ended during a write, which is normal at the end of a process run), and as corruption otherwise.
+
+A stretch is the run of records during which the adopted versions and the process stay the same.
 """
 
 from __future__ import annotations
@@ -26,18 +28,22 @@
 from birchstack.fleet.versions import Version
 
 FORMAT = 1
-HEAD = struct.Struct("<2sIQ16s")
-SUM = struct.Struct("<I")
-MARK = b"\xce\x5a"
-OVER = HEAD.size + SUM.size  # bytes of a frame besides its payload
-WIDTH = 16
-START = bytes(WIDTH)  # the chain before the first frame
-MOST = 1 << 20  # a longer payload is no record
-NUMBER = struct.Struct("<Q")
+HEADER = struct.Struct("<2sIQ16s")
+CHECKSUM = struct.Struct("<I")
+FRAME_MARKER = b"\xce\x5a"
+FRAME_OVERHEAD = HEADER.size + CHECKSUM.size  # bytes of a frame besides its payload
+CHAIN_BYTES = 16
+START = bytes(CHAIN_BYTES)  # the chain before the first frame
+MAX_PAYLOAD_BYTES = 1 << 20  # a frame with a longer payload is invalid
+RECORD_NUMBER = struct.Struct("<Q")
 
 
 class Life(msgspec.Struct, array_like=True, tag="l", frozen=True):
-    """A process begins to act from this folder. Times in milliseconds; steady: since the machine's start."""
+    """A process begins to act from this folder.
+
+    life: identifier of the process run. name: of the sender. boot: identifier of the machine's boot.
+    Times are in milliseconds; steady_ms counts since that boot.
+    """
 
     life: str
     name: str
@@ -48,8 +54,11 @@
 
 
 class Adopted(msgspec.Struct, array_like=True, tag="a", frozen=True):
-    """From here on the sender acts on this version. order: how it stands to the one before. taken: False
-    where it was told and the sender stays on what it has."""
+    """From here on the sender acts on this version.
+
+    order: how it compares to the previous one. taken: False if it was received and the sender keeps what it
+    holds.
+    """
 
     version: Version
     order: str
@@ -60,8 +69,11 @@
 
 
 class Acted(msgspec.Struct, array_like=True, tag="c", frozen=True):
-    """One turn. calls: document and endpoint in turn, of each call that begins. rejected: how many documents;
-    abandoned: which."""
+    """The actions of one turn.
+
+    calls: document and endpoint, alternating, of each call that begins. rejected: number of documents.
+    abandoned: identifiers of documents.
+    """
 
     steady_ms: float
     calls: tuple[str, ...] = ()
@@ -70,7 +82,7 @@
 
 
 class Gap(msgspec.Struct, array_like=True, tag="g", frozen=True):
-    """What was done in this time is not in the trail. calls: how many began, -1 where nobody knows."""
+    """Actions of this time are missing from the trail. calls: how many began, -1 if unknown."""
 
     from_ms: float
     to_ms: float
@@ -79,13 +91,13 @@
 
 
 class Ended(msgspec.Struct, array_like=True, tag="e", frozen=True):
-    """The process ended by itself: it acts no more."""
+    """The process ended in an orderly way and acts no more."""
 
     steady_ms: float
 
 
-class Tally(msgspec.Struct, array_like=True, frozen=True):
-    """Calls begun to one endpoint: how many, the first and the last."""
+class EndpointTally(msgspec.Struct, array_like=True, frozen=True):
+    """Calls begun to one endpoint: their number, and the times of the first and the last."""
 
     endpoint: str
     calls: int
@@ -93,9 +105,12 @@
     last_ms: float
 
 
-class Total(msgspec.Struct, array_like=True, frozen=True):
-    """A stretch without its single calls. number: the record that began it. versions: by kind, those acted
-    on. mixed: several stretches put together; versions are then those that all of them had."""
+class StretchTotal(msgspec.Struct, array_like=True, frozen=True):
+    """A stretch without its individual calls.
+
+    number: of the record that began it. versions: those acted on, by kind. mixed: several stretches are
+    combined; versions are then those that all of them share.
+    """
 
     number: int
     life: str
@@ -104,15 +119,18 @@
     versions: dict[str, Version]
     from_ms: float
     to_ms: float
-    tallies: tuple[Tally, ...]
+    tallies: tuple[EndpointTally, ...]
     rejected: int
     abandoned: int
     mixed: bool = False
 
 
 class State(msgspec.Struct, array_like=True, frozen=True):
-    """What holds at one place of a trail: whose it is, the versions acted on by kind, and the record that
-    began the present stretch."""
+    """What holds at one position of a trail.
+
+    life, name, boot: as in the last start of a process. versions: those acted on, by kind. stretch:
+    number of the record that began the current stretch.
+    """
 
     life: str = ""
     name: str = ""
@@ -123,13 +141,13 @@
 
 
 class Folded(msgspec.Struct, array_like=True, tag="f", frozen=True):
-    """Stands in place of the records first to last, which the bound on bytes no longer has room for."""
+    """Totals in place of the records first to last, which were compacted to keep the size limit."""
 
     first: int
     last: int
     chain: bytes  # of the record `last`
-    state: State  # after it
-    totals: tuple[Total, ...]
+    state: State  # after the record `last`
+    totals: tuple[StretchTotal, ...]
     gaps: tuple[Gap, ...] = ()
 
 
@@ -139,8 +157,8 @@
 
 
 def after(state: State, number: int, record: Record) -> State:
-    """What holds once the record of that number is read."""
-    if isinstance(record, Life):  # a process knows nothing of what the one before it acted on
+    """Return the state after the record of that number."""
+    if isinstance(record, Life):  # a new process does not know what the previous one had adopted
         return State(record.life, record.name, record.boot, {}, number, record.steady_ms)
     if isinstance(record, Adopted) and record.taken:
         versions = {**state.versions, record.version.kind: record.version}
@@ -149,88 +167,92 @@
 
 
 def time_of(record: Record) -> float | None:
-    """When it was written, by the steady clock of its boot."""
+    """Return when the record was written, by the steady clock of its boot; None for compacted records."""
     if isinstance(record, Gap):
         return record.to_ms
     return None if isinstance(record, Folded) else record.steady_ms
 
 
-def chained(before: bytes, number: int, payload: bytes) -> bytes:
-    return blake2b(before + NUMBER.pack(number) + payload, digest_size=WIDTH).digest()
+def chain_hash(previous_chain: bytes, number: int, payload: bytes) -> bytes:
+    """Return the chain hash of a record."""
+    return blake2b(previous_chain + RECORD_NUMBER.pack(number) + payload, digest_size=CHAIN_BYTES).digest()
 
 
-def _framed(number: int, chain: bytes, payload: bytes) -> bytes:
-    head = HEAD.pack(MARK, len(payload), number, chain)
-    return head + SUM.pack(crc32(payload, crc32(head))) + payload
+def _assemble_frame(number: int, chain: bytes, payload: bytes) -> bytes:
+    """Return the bytes of a frame with a known chain hash."""
+    header = HEADER.pack(FRAME_MARKER, len(payload), number, chain)
+    return header + CHECKSUM.pack(crc32(payload, crc32(header))) + payload
 
 
-def frame(number: int, before: bytes, record: Record) -> tuple[bytes, bytes]:
-    """The bytes of a record and its chain."""
+def frame(number: int, previous_chain: bytes, record: Record) -> tuple[bytes, bytes]:
+    """Encode a record. Returns the bytes of its frame and its chain hash."""
     payload = _encode(record)
-    chain = blake2b(before + NUMBER.pack(number) + payload, digest_size=WIDTH).digest()
-    head = HEAD.pack(MARK, len(payload), number, chain)
-    return head + SUM.pack(crc32(payload, crc32(head))) + payload, chain
+    chain = blake2b(previous_chain + RECORD_NUMBER.pack(number) + payload, digest_size=CHAIN_BYTES).digest()
+    header = HEADER.pack(FRAME_MARKER, len(payload), number, chain)
+    return header + CHECKSUM.pack(crc32(payload, crc32(header))) + payload, chain
 
 
-def frame_of_folded(folded: Folded) -> bytes:
-    """Stands where the record `last` stood, with its number and chain, so that what comes next follows it."""
-    return _framed(folded.last, folded.chain, _encode(folded))
+def compacted_frame(compacted: Folded) -> bytes:
+    """Encode compacted records, with the number and chain hash of the last one so that the next follows."""
+    return _assemble_frame(compacted.last, compacted.chain, _encode(compacted))
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """One frame as read. at: where it begins among the bytes; size: of all of it."""
+    """One decoded frame. offset: its position in the scanned bytes; size: of the whole frame in bytes."""
 
     number: int
     chain: bytes
     payload: bytes
-    at: int
+    offset: int
     size: int
 
-    def follows(self, before: bytes) -> bool:
-        return chained(before, self.number, self.payload) == self.chain
+    def follows(self, previous_chain: bytes) -> bool:
+        """Return whether the frame continues the chain."""
+        return chain_hash(previous_chain, self.number, self.payload) == self.chain
 
     def bytes(self) -> bytes:
-        """As it lay."""
-        return _framed(self.number, self.chain, self.payload)
+        """Return the frame as it was stored."""
+        return _assemble_frame(self.number, self.chain, self.payload)
 
     def record(self) -> Record:
-        """Raises msgspec.DecodeError where a newer format wrote it."""
+        """Decode the record. Raises msgspec.DecodeError if it was written in a newer format."""
         return decode(self.payload)
 
 
 class Damage(msgspec.Struct, frozen=True):
-    """Bytes that are no frame. torn: nothing good follows them."""
+    """Bytes that are not a valid frame. torn: no valid frame follows them."""
 
-    at: int
+    offset: int
     size: int
     torn: bool
 
 
-def _at(data: bytes, at: int) -> Frame | None:
-    if data[at : at + 2] != MARK or len(data) - at < OVER:
+def _frame_at(data: bytes, offset: int) -> Frame | None:
+    """Return the frame at an offset, None if there is no valid one."""
+    if data[offset : offset + 2] != FRAME_MARKER or len(data) - offset < FRAME_OVERHEAD:
         return None
-    _, length, number, chain = HEAD.unpack_from(data, at)
-    if length > MOST or len(data) - at < OVER + length:
+    _, length, number, chain = HEADER.unpack_from(data, offset)
+    if length > MAX_PAYLOAD_BYTES or len(data) - offset < FRAME_OVERHEAD + length:
         return None
-    payload = data[at + OVER : at + OVER + length]
-    head = data[at : at + HEAD.size]
-    if SUM.unpack_from(data, at + HEAD.size)[0] != crc32(payload, crc32(head)):
+    payload = data[offset + FRAME_OVERHEAD : offset + FRAME_OVERHEAD + length]
+    header = data[offset : offset + HEADER.size]
+    if CHECKSUM.unpack_from(data, offset + HEADER.size)[0] != crc32(payload, crc32(header)):
         return None
-    return Frame(number, chain, payload, at, OVER + length)
+    return Frame(number, chain, payload, offset, FRAME_OVERHEAD + length)
 
 
 def scan(data: bytes) -> Iterator[Frame | Damage]:
-    """Every frame and every damage among the bytes, in their order."""
-    at = bad = 0
-    while at < len(data):
-        found = _at(data, at)
+    """Yield every frame and every damaged range of the bytes, in order."""
+    offset = damage_start = 0
+    while offset < len(data):
+        found = _frame_at(data, offset)
         if found is None:
-            at = data.find(MARK, at + 1)
-            at = len(data) if at < 0 else at
+            offset = data.find(FRAME_MARKER, offset + 1)
+            offset = len(data) if offset < 0 else offset
             continue
-        if bad < at:
-            yield Damage(bad, at - bad, False)
+        if damage_start < offset:
+            yield Damage(damage_start, offset - damage_start, False)
         yield found
-        at = bad = at + found.size
-    if bad < len(data):
-        yield Damage(bad, len(data) - bad, True)
+        offset = damage_start = offset + found.size
+    if damage_start < len(data):
+        yield Damage(damage_start, len(data) - damage_start, True)
--- a/birchstack/fleet/settings.py
+++ b/birchstack/fleet/settings.py
@@ -1,7 +1,7 @@
-"""The operators' file of the fleet (deploy/fleet.toml, named by BALANCER_FLEET): read and checked here.
+"""The fleet's settings file (deploy/fleet.toml, named by BALANCER_FLEET): decoded and validated here.
 
-Owns its keys and their defaults. A wrong one is named with its path in a ConfigError, which ends the start
-with status 2.
+Owns its keys and their defaults. An invalid key is reported with its path in a ConfigError, which ends the
+start with status 2.
 """
 
 from __future__ import annotations
@@ -12,35 +12,38 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from birchstack.fleet.versions import TAKE, Back
+from birchstack.fleet.versions import TAKE, RegressionPolicy
 from birchstack.net.config import Config, ConfigError
 
-LEAST_ROOM = 500_000  # bytes that stay for what is owed
-BLOCKS = 32 * 512  # files count in whole blocks
+MIN_DOCUMENT_BYTES = 500_000  # least space that must remain for pending documents
+BLOCK_OVERHEAD_BYTES = 32 * 512  # allowance for files that occupy whole blocks
 
 
 class Trail(Struct, frozen=True, forbid_unknown_fields=True):
-    """bytes: of the trail on disk, and in memory."""
+    """Table `trail`. bytes: size limit of the audit trail on disk, and also in memory."""
 
     bytes: Annotated[int, Meta(ge=65536, le=1 << 30)] = 1_000_000
 
 
 class List(Struct, frozen=True, forbid_unknown_fields=True):
-    """back: what a list that goes back or is forked is met with (docs/notes/fleet.md)."""
+    """Table `list`. back: the policy for an older or forked list (docs/notes/fleet.md)."""
 
-    back: Back = TAKE
+    back: RegressionPolicy = TAKE
 
 
 class Signals(Struct, frozen=True, forbid_unknown_fields=True):
-    """bytes: of signals in one answer to a keeper. quiet_s: after so many seconds without a keeper's question
-    the sender decides as if it were alone (docs/notes/signals.md)."""
+    """Table `signals`.
+
+    bytes: size limit of the signals in one response to a collector. quiet_s: after this many seconds without
+    a collector's request the sender decides without other senders' signals (docs/notes/signals.md).
+    """
 
     bytes: Annotated[int, Meta(ge=64, le=65536)] = 160
     quiet_s: Annotated[float, Meta(ge=0.1, le=60.0)] = 3.5
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
-    """signals: None where the file has no such table, and the sender neither tells nor hears any."""
+    """The whole file. signals: None if the file has no such table; the sender then exchanges no signals."""
 
     trail: Trail = Trail()
     list: List = List()
@@ -48,6 +51,7 @@
 
 
 def load(path: str) -> Fleet:
+    """Read the settings file. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
             return decode(file.read(), path)
@@ -56,20 +60,26 @@
 
 
 def decode(text: bytes, path: str) -> Fleet:
+    """Decode the contents of a settings file; path is for the error message. Raises ConfigError."""
     try:
         return msgspec.toml.decode(text, type=Fleet)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
         raise ConfigError(f"BALANCER_FLEET: {path}: {problem}") from problem
 
 
-def room_for(told: Fleet, config: Config) -> Config:
-    """The trail's room is taken from what the folder may hold."""
+def room_for(settings: Fleet, config: Config) -> Config:
+    """Return the configuration with the audit trail's space taken from the folder's disk limit.
+
+    Raises ConfigError if too little space remains for documents, or if no operators' port is configured.
+    """
     if config.ops is None:
-        raise ConfigError("ops: missing; BALANCER_FLEET is set, and keepers ask there for the trail")
-    left = config.disk_bytes - told.trail.bytes - BLOCKS
-    if left < LEAST_ROOM:
         raise ConfigError(
-            f"BALANCER_FLEET: trail.bytes: {told.trail.bytes} leaves less than {LEAST_ROOM} of "
+            "ops: missing; BALANCER_FLEET requires it, since keepers poll the trail on that port"
+        )
+    remaining = config.disk_bytes - settings.trail.bytes - BLOCK_OVERHEAD_BYTES
+    if remaining < MIN_DOCUMENT_BYTES:
+        raise ConfigError(
+            f"BALANCER_FLEET: trail.bytes: {settings.trail.bytes} leaves less than {MIN_DOCUMENT_BYTES} of "
             f"limits.disk_mb ({config.disk_bytes}) for documents"
         )
-    return dataclasses.replace(config, disk_bytes=left)
+    return dataclasses.replace(config, disk_bytes=remaining)
--- a/birchstack/fleet/trail.py
+++ b/birchstack/fleet/trail.py
@@ -1,9 +1,9 @@
-"""The trail of one sender: what it adopted and what it did since, in a bounded number of bytes.
+"""The audit trail of one sender: what it adopted and what it did since, in a bounded number of bytes.
 
-Owns the order of records, their numbers, the segments they lie in and what is folded into totals when there
-is no room. Must never touch a file or a clock: whoever holds a Trail writes what frame() returns before
-anything is done that the record speaks of. Invariants: numbers rise by one but where rot took records; the
-oldest segments are folded, never left out.
+Owns the order of records, their numbers, the segments that hold them and the compaction into totals when
+space runs out. Must never touch a file or a clock: the owner of an AuditTrail writes what encode_frame()
+returns before anything is done that the record describes. Invariants: numbers increase by one, except where
+corruption destroyed records; the oldest segments are compacted, never discarded.
 """
 
 from __future__ import annotations
@@ -14,91 +14,109 @@
 from collections.abc import Iterator
 
 from birchstack.fleet.records import (
-    OVER,
+    FRAME_OVERHEAD,
     START,
     Acted,
     Adopted,
+    EndpointTally,
     Folded,
     Frame,
     Gap,
     Record,
     State,
-    Tally,
-    Total,
+    StretchTotal,
     after,
+    compacted_frame,
     decode,
     frame,
-    frame_of_folded,
     time_of,
 )
 
-SEGMENTS = 8  # the bound on bytes holds so many, one of them for what is folded
-TOTALS, TALLIES, GAPS = 64, 256, 64  # kept when folded; beyond, the oldest are put together
-REST = ""  # the endpoint under which those beyond TALLIES are counted
+SEGMENTS = 8  # segments within the size limit, the space of one being reserved for the compacted records
+MAX_TOTALS = 64  # totals of stretches in the compacted records; beyond, the oldest are combined
+MAX_TALLIES = 256  # endpoints in the totals of one stretch; beyond, they are counted together
+MAX_GAPS = 64  # gaps in the compacted records; beyond, the oldest are combined
+OTHER_ENDPOINTS = ""  # stands for the endpoints beyond MAX_TALLIES
 
 
-class Sums:
-    """One stretch, or the part of it that lies in one segment, as totals."""
+class StretchAccumulator:
+    """Accumulates the totals of one stretch, or of its part within one segment."""
 
     __slots__ = ("number", "state", "tallies", "from_ms", "to_ms", "rejected", "abandoned", "mixed")
 
     def __init__(self, number: int, state: State, from_ms: float) -> None:
-        self.number, self.state, self.from_ms, self.to_ms = number, state, from_ms, from_ms
-        self.tallies: dict[str, list] = {}  # by endpoint: calls, first, last
-        self.rejected, self.abandoned, self.mixed = 0, 0, False
+        self.number = number
+        self.state = state
+        self.from_ms = from_ms
+        self.to_ms = from_ms
+        self.tallies: dict[str, list] = {}  # by endpoint: [calls, first_ms, last_ms]
+        self.rejected = 0
+        self.abandoned = 0
+        self.mixed = False
 
     @staticmethod
-    def of(total: Total) -> Sums:
+    def from_total(total: StretchTotal) -> StretchAccumulator:
+        """Continue from a stored total."""
         state = State(total.life, total.name, total.boot, total.versions, total.number, total.from_ms)
-        sums = Sums(total.number, state, total.from_ms)
-        sums.to_ms, sums.rejected, sums.abandoned = total.to_ms, total.rejected, total.abandoned
-        sums.tallies = {each.endpoint: [each.calls, each.first_ms, each.last_ms] for each in total.tallies}
-        sums.mixed = total.mixed
-        return sums
+        accumulator = StretchAccumulator(total.number, state, total.from_ms)
+        accumulator.to_ms = total.to_ms
+        accumulator.rejected = total.rejected
+        accumulator.abandoned = total.abandoned
+        accumulator.tallies = {
+            each.endpoint: [each.calls, each.first_ms, each.last_ms] for each in total.tallies
+        }
+        accumulator.mixed = total.mixed
+        return accumulator
 
-    def acted(self, record: Acted) -> None:
+    def add_turn(self, record: Acted) -> None:
+        """Add the actions of one turn."""
         now = self.to_ms = record.steady_ms
         for endpoint in record.calls[1::2]:
-            had = self.tallies.get(endpoint)
-            if had:
-                had[0], had[2] = had[0] + 1, now
+            tally = self.tallies.get(endpoint)
+            if tally:
+                tally[0], tally[2] = tally[0] + 1, now
             else:
-                self.tally(endpoint, 1, now, now)
+                self.add_calls(endpoint, 1, now, now)
         self.rejected += record.rejected
         self.abandoned += len(record.abandoned)
 
-    def tally(self, endpoint: str, calls: int, first_ms: float, last_ms: float) -> None:
-        if endpoint not in self.tallies and len(self.tallies) >= TALLIES:
-            endpoint = REST
-        had = self.tallies.setdefault(endpoint, [0, first_ms, last_ms])
-        had[0], had[2] = had[0] + calls, last_ms
-
-    def add(self, more: Sums) -> None:
-        """The next part of the same stretch."""
-        for endpoint, (calls, first_ms, last_ms) in more.tallies.items():
-            self.tally(endpoint, calls, first_ms, last_ms)
-        self.to_ms = more.to_ms
-        self.rejected += more.rejected
-        self.abandoned += more.abandoned
-
-    def mix(self, more: Sums) -> None:
-        """Another stretch put together with this one; what they do not share is left open."""
-        a, b, self.mixed = self.state, more.state, True
-        versions = {kind: version for kind, version in a.versions.items() if b.versions.get(kind) == version}
+    def add_calls(self, endpoint: str, calls: int, first_ms: float, last_ms: float) -> None:
+        """Add calls to one endpoint, counted under OTHER_ENDPOINTS beyond MAX_TALLIES endpoints."""
+        if endpoint not in self.tallies and len(self.tallies) >= MAX_TALLIES:
+            endpoint = OTHER_ENDPOINTS
+        tally = self.tallies.setdefault(endpoint, [0, first_ms, last_ms])
+        tally[0], tally[2] = tally[0] + calls, last_ms
+
+    def add_part(self, part: StretchAccumulator) -> None:
+        """Add the next part of the same stretch."""
+        for endpoint, (calls, first_ms, last_ms) in part.tallies.items():
+            self.add_calls(endpoint, calls, first_ms, last_ms)
+        self.to_ms = part.to_ms
+        self.rejected += part.rejected
+        self.abandoned += part.abandoned
+
+    def combine(self, next_stretch: StretchAccumulator) -> None:
+        """Combine with the next stretch; keeps of the state only what both share."""
+        first, second = self.state, next_stretch.state
+        self.mixed = True
+        versions = {
+            kind: version for kind, version in first.versions.items() if second.versions.get(kind) == version
+        }
         self.state = State(
-            a.life if a.life == b.life else "",
-            a.name if a.name == b.name else "",
-            a.boot if a.boot == b.boot else "",
+            first.life if first.life == second.life else "",
+            first.name if first.name == second.name else "",
+            first.boot if first.boot == second.boot else "",
             versions,
-            a.stretch,
-            a.from_ms,
+            first.stretch,
+            first.from_ms,
         )
-        self.add(more)
+        self.add_part(next_stretch)
 
-    def total(self) -> Total:
+    def to_total(self) -> StretchTotal:
+        """Return the total to be stored."""
         state = self.state
-        tallies = tuple(Tally(name, *words) for name, words in self.tallies.items())
-        return Total(
+        tallies = tuple(EndpointTally(name, *values) for name, values in self.tallies.items())
+        return StretchTotal(
             self.number,
             state.life,
             state.name,
@@ -114,18 +132,25 @@
 
 
 class Segment:
-    """Frames one after another, as they lie in their file. What they come to is worked out when it is folded:
-    nothing is summed while a sender acts."""
+    """Consecutive frames as stored in one file.
 
-    __slots__ = ("first", "before", "state", "chain", "data", "numbers", "offsets", "gaps")
+    Totals are computed only when the segment is compacted, so that a sender does no summing while it acts.
+    """
+
+    __slots__ = ("first", "state_before", "state", "chain", "data", "numbers", "offsets", "gaps")
 
     def __init__(self, first: int, state: State) -> None:
-        self.first, self.before = first, state  # before: what holds ahead of its first record
-        self.state, self.chain = state, START  # after and of its last record
-        self.data, self.numbers, self.offsets = bytearray(), array("Q"), array("L")
+        self.first = first  # number of its first record
+        self.state_before = state  # before its first record
+        self.state = state  # after its last record
+        self.chain = START  # of its last record
+        self.data = bytearray()
+        self.numbers = array("Q")
+        self.offsets = array("L")
         self.gaps: list[Gap] = []
 
-    def put(self, number: int, data: bytes, chain: bytes, record: Record) -> None:
+    def append(self, number: int, data: bytes, chain: bytes, record: Record) -> None:
+        """Append a record that is stored."""
         self.numbers.append(number)
         self.offsets.append(len(self.data))
         self.data += data
@@ -135,161 +160,180 @@
             if isinstance(record, Gap):
                 self.gaps.append(record)
 
-    def sums(self) -> list[Sums]:
-        """Its stretches, in their order."""
-        found: list[Sums] = []
-        state = self.before
+    def stretch_totals(self) -> list[StretchAccumulator]:
+        """Return the totals of its stretches, in order."""
+        found: list[StretchAccumulator] = []
+        state = self.state_before
         for number, payload in self._payloads():
             record = decode(payload)
             if type(record) is Acted:
                 if not found:
-                    found.append(Sums(state.stretch, state, record.steady_ms))
-                found[-1].acted(record)
+                    found.append(StretchAccumulator(state.stretch, state, record.steady_ms))
+                found[-1].add_turn(record)
                 continue
-            now = after(state, number, record)
-            if now.stretch != state.stretch:
+            next_state = after(state, number, record)
+            if next_state.stretch != state.stretch:
                 if found and isinstance(record, Adopted):
-                    found[-1].to_ms = now.from_ms  # a stretch lasts until the next one begins
-                found.append(Sums(now.stretch, now, now.from_ms))
-            state = now
+                    found[-1].to_ms = next_state.from_ms  # a stretch lasts until the next one begins
+                found.append(StretchAccumulator(next_state.stretch, next_state, next_state.from_ms))
+            state = next_state
         return found
 
     def _payloads(self) -> Iterator[tuple[int, memoryview]]:
-        """They were checked when they were put here."""
+        """Yield record numbers and payloads; the frames were verified when they were appended."""
         data, ends = memoryview(bytes(self.data)), [*self.offsets[1:], len(self.data)]
         for number, begin, end in zip(self.numbers, self.offsets, ends, strict=True):
-            yield number, data[begin + OVER : end]
+            yield number, data[begin + FRAME_OVERHEAD : end]
 
-    def since(self, number: int, most: int) -> bytes:
-        """Whole frames from the first that is beyond number; more than most bytes only for a single one."""
-        at = bisect_right(self.numbers, number)
-        if at == len(self.numbers):
+    def frames_after(self, number: int, max_bytes: int) -> bytes:
+        """Return whole frames after a record number; exceeds max_bytes only with a single frame."""
+        index = bisect_right(self.numbers, number)
+        if index == len(self.numbers):
             return b""
-        begin = self.offsets[at]
-        if len(self.data) - begin <= most:
+        begin = self.offsets[index]
+        if len(self.data) - begin <= max_bytes:
             return bytes(self.data[begin:])
-        end = max(bisect_right(self.offsets, begin + most) - 1, at + 1)
+        end = max(bisect_right(self.offsets, begin + max_bytes) - 1, index + 1)
         return bytes(self.data[begin : self.offsets[end] if end < len(self.offsets) else len(self.data)])
 
 
-def fold(before: Folded | None, segment: Segment) -> Folded:
-    """The segment as totals, added to what is folded already."""
-    kept = [Sums.of(each) for each in before.totals] if before else []
-    gaps = [*(before.gaps if before else ()), *segment.gaps]
-    for sums in segment.sums():
-        if kept and kept[-1].number == sums.number:
-            kept[-1].add(sums)
+def compact(compacted: Folded | None, segment: Segment) -> Folded:
+    """Return the totals of a segment added to what was compacted before."""
+    totals = [StretchAccumulator.from_total(each) for each in compacted.totals] if compacted else []
+    gaps = [*(compacted.gaps if compacted else ()), *segment.gaps]
+    for part in segment.stretch_totals():
+        if totals and totals[-1].number == part.number:
+            totals[-1].add_part(part)
         else:
-            kept.append(sums)
-    while len(kept) > TOTALS:
-        kept[0].mix(kept.pop(1))
-    while len(gaps) > GAPS:
-        known = -1 if -1 in (gaps[0].calls, gaps[1].calls) else gaps[0].calls + gaps[1].calls
-        gaps[:2] = [Gap(gaps[0].from_ms, gaps[1].to_ms, "several gaps", known)]
+            totals.append(part)
+    while len(totals) > MAX_TOTALS:
+        totals[0].combine(totals.pop(1))
+    while len(gaps) > MAX_GAPS:
+        calls = -1 if -1 in (gaps[0].calls, gaps[1].calls) else gaps[0].calls + gaps[1].calls
+        gaps[:2] = [Gap(gaps[0].from_ms, gaps[1].to_ms, "several gaps", calls)]
     return Folded(
-        before.first if before else segment.first,
+        compacted.first if compacted else segment.first,
         segment.numbers[-1],
         segment.chain,
         segment.state,
-        tuple(each.total() for each in kept),
+        tuple(each.to_total() for each in totals),
         tuple(gaps),
     )
 
 
-class Trail:
-    """name: of the trail, not of its sender: drawn when the folder's first record was written."""
+class AuditTrail:
+    """The audit trail of one folder, in memory.
+
+    name: random identifier of the trail, not of its sender, drawn when the folder's first record was written.
+    """
 
     def __init__(self, name: str, limit: int) -> None:
-        """limit: bytes of all segments and of what is folded."""
-        self.name, self._limit = name, limit
-        self.last, self.chain, self.state = 0, START, State()
-        self.last_ms = 0.0  # the time of the last record, by the steady clock of its boot
-        self.folded: Folded | None = None
-        self._folded = b""
+        """Create an empty trail; limit: size of all segments and the compacted records, in bytes."""
+        self.name = name
+        self._limit = limit
+        self.last = 0
+        self.chain = START
+        self.state = State()
+        self.last_ms = 0.0  # time of the last record, by the steady clock of its boot
+        self.compacted: Folded | None = None
+        self._compacted_frame = b""
         self.segments: deque[Segment] = deque()
 
-    # Taken up from where it was kept
+    # Restoring what was stored
 
-    def take_folded(self, folded: Folded) -> None:
-        self.folded, self._folded = folded, frame_of_folded(folded)
-        self.last, self.chain, self.state = folded.last, folded.chain, folded.state
+    def restore_compacted(self, compacted: Folded) -> None:
+        """Restore the compacted records, before any segment."""
+        self.compacted, self._compacted_frame = compacted, compacted_frame(compacted)
+        self.last, self.chain, self.state = compacted.last, compacted.chain, compacted.state
 
-    def take(self, found: Frame) -> bool:
-        """A frame that was kept; False where it does not follow what is here: records before it are missing,
-        or something was changed."""
-        sound = found.follows(self.chain)
+    def restore_frame(self, stored: Frame) -> bool:
+        """Restore a stored frame.
+
+        Returns False if it does not continue the chain: records before it are missing, or a record was
+        changed.
+        """
+        intact = stored.follows(self.chain)
         if not self.segments:
-            self.begin(found.number)
-        record = found.record()
-        self.segments[-1].put(found.number, found.bytes(), found.chain, record)
-        self.last, self.chain, self.state = found.number, found.chain, self.segments[-1].state
+            self.begin_segment(stored.number)
+        record = stored.record()
+        self.segments[-1].append(stored.number, stored.bytes(), stored.chain, record)
+        self.last, self.chain, self.state = stored.number, stored.chain, self.segments[-1].state
         self.last_ms = time_of(record) or self.last_ms
-        return sound
+        return intact
 
-    # What happens
+    # Appending
 
-    def begin(self, first: int = 0) -> Segment:
-        """A new segment, from the next record on."""
+    def begin_segment(self, first: int = 0) -> Segment:
+        """Begin a new segment with the record number `first`, or with the next record if it is 0."""
         self.segments.append(Segment(first or self.last + 1, self.state))
         return self.segments[-1]
 
     @property
     def segment_bytes(self) -> int:
+        """Size at which a segment is full, in bytes."""
         return self._limit // SEGMENTS
 
-    def frame(self, record: Record) -> tuple[bytes, bytes]:
-        """The bytes to keep before the record holds, and its chain. Nothing changes here until put()."""
+    def encode_frame(self, record: Record) -> tuple[bytes, bytes]:
+        """Encode the next record. Returns the frame to store and its chain hash.
+
+        The trail changes only with append(), once the frame is stored.
+        """
         return frame(self.last + 1, self.chain, record)
 
-    def put(self, record: Record, data: bytes, chain: bytes) -> None:
-        """The record is kept: it holds now."""
+    def append(self, record: Record, data: bytes, chain: bytes) -> None:
+        """Append a record whose frame is stored."""
         self.last, self.chain = self.last + 1, chain
         segment = self.segments[-1]
-        segment.put(self.last, data, chain, record)
+        segment.append(self.last, data, chain, record)
         self.state = segment.state
         if type(record) is Acted:
             self.last_ms = record.steady_ms
         else:
             self.last_ms = time_of(record) or self.last_ms
 
-    def too_much(self) -> bool:
-        """The oldest segment has to be folded: there is no room, or too many small ones."""
-        held = sum(len(each.data) for each in self.segments) + len(self._folded)
+    def needs_compaction(self) -> bool:
+        """Return whether the oldest segment must be compacted: too many bytes, or too many small segments."""
+        size = sum(len(each.data) for each in self.segments) + len(self._compacted_frame)
         return len(self.segments) > 1 and (
-            held > self._limit - self.segment_bytes or len(self.segments) > 2 * SEGMENTS
+            size > self._limit - self.segment_bytes or len(self.segments) > 2 * SEGMENTS
         )
 
-    def fold(self) -> Folded:
-        """What the oldest segment and what is folded already come to; nothing changes until folds()."""
-        return fold(self.folded, self.segments[0])
+    def compact_oldest(self) -> Folded:
+        """Return the oldest segment added to the compacted records; takes effect with apply_compaction()."""
+        return compact(self.compacted, self.segments[0])
 
-    def folds(self, folded: Folded) -> Segment:
-        """That is kept: returns the segment that is no more."""
-        self.folded, self._folded = folded, frame_of_folded(folded)
+    def apply_compaction(self, compacted: Folded) -> Segment:
+        """Replace the oldest segment by compacted records that are stored. Returns the removed segment."""
+        self.compacted, self._compacted_frame = compacted, compacted_frame(compacted)
         return self.segments.popleft()
 
-    # What is asked
+    # Reading
 
-    def gaps(self) -> set[tuple[float, str]]:
-        """Those recorded: since when, and why."""
-        folded = self.folded.gaps if self.folded else ()
+    def recorded_gaps(self) -> set[tuple[float, str]]:
+        """Return the start time and reason of each recorded gap."""
+        compacted = self.compacted.gaps if self.compacted else ()
         return {
             (gap.from_ms, gap.why)
-            for gaps in (folded, *(each.gaps for each in self.segments))
+            for gaps in (compacted, *(each.gaps for each in self.segments))
             for gap in gaps
         }
 
-    def piece(self, number: int, most: int) -> bytes:
-        """Whole frames beyond number, some of most bytes; what is folded comes as one frame before them."""
+    def read_after(self, number: int, max_bytes: int) -> bytes:
+        """Return whole frames after a record number, about max_bytes of them.
+
+        Compacted records come first, as a single frame.
+        """
         parts, size = [], 0
-        if self.folded and number < self.folded.last:
-            parts, size, number = [self._folded], len(self._folded), self.folded.last
+        if self.compacted and number < self.compacted.last:
+            parts = [self._compacted_frame]
+            size = len(self._compacted_frame)
+            number = self.compacted.last
         for segment in self.segments:
             if not segment.numbers or segment.numbers[-1] <= number:
                 continue
-            if size >= most:
+            if size >= max_bytes:
                 break
-            part = segment.since(number, most - size)
+            part = segment.frames_after(number, max_bytes - size)
             parts.append(part)
             size += len(part)
             number = segment.numbers[-1]
--- a/birchstack/fleet/versions.py
+++ b/birchstack/fleet/versions.py
@@ -1,4 +1,4 @@
-"""Versions as values: of what a sender acts on, and how two of them stand to one another.
+"""Versions of what a sender acts on, as values, and how two versions compare.
 
 Owns the comparison, the digest of a list's contents and what each comparison means for the list that a sender
 holds. Must never read a clock, a socket or a file. See docs/notes/fleet.md.
@@ -13,22 +13,38 @@
 
 import msgspec
 
-LIST, SETTINGS, PROGRAM, DECISIONS, FORM = "list", "settings", "program", "decisions", "form"
+# Kinds of versions
+LIST = "list"
+SETTINGS = "settings"
+PROGRAM = "program"
+DECISIONS = "decisions"
+FORM = "form"  # the format of the audit records
 KINDS = (LIST, SETTINGS, PROGRAM, DECISIONS, FORM)
-NEWER, OLDER, SAME, FORKED, FOREIGN, APART = "newer", "older", "same", "forked", "foreign", "apart"
-FIRST = "first"  # nothing was held before
-TAKE, HOLD = "take", "hold"  # what a list that goes back, or is forked, is met with
-Back = Literal["take", "hold"]
-WIDTH = 16  # bytes of every digest here
-MOST_NUMBER = (1 << 63) - 1  # what fits wherever a number is kept
+
+# Results of a comparison
+NEWER = "newer"
+OLDER = "older"
+SAME = "same"
+FORKED = "forked"  # one number with two digests
+FOREIGN = "foreign"  # another epoch
+APART = "apart"  # not numbered and not the same, so without an order
+FIRST = "first"  # no version was held before
+
+# Policies for an older or forked list
+TAKE = "take"
+HOLD = "hold"
+RegressionPolicy = Literal["take", "hold"]
+
+DIGEST_BYTES = 16  # size of every digest of this module
+MAX_NUMBER = (1 << 63) - 1  # fits every place where a version number is stored
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True):
-    """One version of one kind of thing.
+    """One version of one kind.
 
-    origin: who gave it out (an address, a path). epoch: the run of numbers it belongs to; "" where the
-    origin tells none. number: its place in that run; None where it is not numbered. digest: of its
-    content."""
+    origin: who published it (an address, a path). epoch: the run of numbers that it belongs to; "" if the
+    origin names none. number: its place in that run; None if it is not numbered. digest: of its content.
+    """
 
     kind: str
     origin: str
@@ -41,97 +57,115 @@
         return f"{self.epoch + ':' if self.epoch else ''}{number}@{self.digest[:8]}"
 
 
-def compare(told: Version, held: Version) -> str:
-    """How told stands to held: NEWER, OLDER, SAME, FORKED (one number, two digests), FOREIGN (another epoch)
-    or APART (not numbered, not the same). The origin does not count: two services may give one version."""
-    if told.kind != held.kind:
-        raise ValueError(f"a version of {told.kind} is not compared with one of {held.kind}")
-    if told.epoch != held.epoch:
+def compare(received: Version, held: Version) -> str:
+    """Compare a received version with the one held.
+
+    Returns NEWER, OLDER, SAME, FORKED, FOREIGN or APART. The origin does not count: two services may publish
+    the same version. Raises ValueError if the versions are of different kinds.
+    """
+    if received.kind != held.kind:
+        raise ValueError(f"cannot compare a {received.kind} version with a {held.kind} version")
+    if received.epoch != held.epoch:
         return FOREIGN
-    if told.number is None or held.number is None:
-        return SAME if told.digest == held.digest else APART
-    if told.number == held.number:
-        return SAME if told.digest == held.digest else FORKED
-    return NEWER if told.number > held.number else OLDER
+    if received.number is None or held.number is None:
+        return SAME if received.digest == held.digest else APART
+    if received.number == held.number:
+        return SAME if received.digest == held.digest else FORKED
+    return NEWER if received.number > held.number else OLDER
+
 
+class ListDecision(msgspec.Struct, frozen=True):
+    """What a sender does with a list that it received.
 
-class Verdict(msgspec.Struct, frozen=True):
-    """What is done with a list that was told: take it or stay; order: as compare() says, or FIRST.
-    loud: whoever looks after the sender hears of it."""
+    accept: act on it, or keep the list held. order: the result of compare(), or FIRST. warn: a warning is
+    logged for the sender's operators.
+    """
 
-    take: bool
+    accept: bool
     order: str
-    loud: bool
+    warn: bool
 
 
-def judge_list(told: Version, held: Version | None, back: Back) -> Verdict:
-    """The one place that says what each comparison means for the list held.
+def judge_list(received: Version, held: Version | None, policy: RegressionPolicy) -> ListDecision:
+    """Decide what to do with a received list: the only place that gives each comparison a meaning.
 
-    NEWER and SAME are taken; so is FOREIGN, loudly: a new epoch begins. OLDER (the service was restored from
-    a backup, or another one answers) and FORKED are loud: by `take` they are acted on, as the platform asks
-    (what its agent says counts as told); by `hold` the sender stays on what it has until something newer
-    comes. May hurt, `take`: endpoints that were taken out come back with the old list. `hold`: what the
-    restored service takes out under a number already seen is not heard of."""
+    NEWER and SAME are accepted. FOREIGN is accepted with a warning: a new epoch begins. OLDER (the service
+    was restored from a backup, or another service answers) and FORKED cause a warning. Policy `take` acts on
+    them, as the platform requires: what its agent announces is authoritative. Policy `hold` keeps the list
+    held until a newer one comes. The risk of `take`: endpoints that were removed come back with the old list.
+    The risk of `hold`: removals that the restored service publishes under a number already seen are missed.
+    """
     if held is None:
-        return Verdict(True, FIRST, False)
-    order = compare(told, held)
+        return ListDecision(True, FIRST, False)
+    order = compare(received, held)
     if order in (OLDER, FORKED):
-        return Verdict(back == TAKE, order, True)
-    return Verdict(True, order, order == FOREIGN)
+        return ListDecision(policy == TAKE, order, True)
+    return ListDecision(True, order, order == FOREIGN)
 
 
-def digest_of(content: bytes) -> str:
-    return hashlib.blake2b(content, digest_size=WIDTH).hexdigest()
+def digest_bytes(content: bytes) -> str:
+    """Return the hexadecimal BLAKE2b digest of some bytes."""
+    return hashlib.blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def digest_of_words(words: object) -> str:
-    """Of a decoded JSON value: the order of keys and the spaces of the file do not count."""
-    return digest_of(json.dumps(words, sort_keys=True, separators=(",", ":")).encode())
+def digest_json(value: object) -> str:
+    """Return the digest of a decoded JSON value, independent of key order and white space in its file."""
+    return digest_bytes(json.dumps(value, sort_keys=True, separators=(",", ":")).encode())
 
 
 class Contents:
-    """The content of a list as it goes through whole lists and changes, and its digest.
+    """The contents of an endpoint list, updated by whole lists and by changes, and their digest.
 
-    The digest is a sum over the entries (each hashed by itself, added modulo 2^128), so that a change costs
-    what it changes, not the whole list. That finds contents that differ by accident, which is what the audit
-    asks; it withstands nobody who forges entries. An entry counts by what every sender is told alike (uid,
-    destination, zone, kind, state); its address may differ from one sender to the next, and its hint and
-    start time are no decision of who publishes the list."""
+    The digest is a sum over the entries (each hashed by itself, added modulo 2^128), so that the cost of an
+    update depends on the change, not on the whole list. It detects contents that differ by accident, which
+    the audit needs; it does not resist deliberately forged entries. An entry counts by the fields that are
+    the same for every sender (uid, destination, zone, kind, state). Its address may differ between senders,
+    and its capacity hint and start time are not decided by the publisher of the list.
+    """
 
-    __slots__ = ("states", "_parts", "_sum")
+    __slots__ = ("states", "_entry_hashes", "_hash_sum")
 
     def __init__(self) -> None:
-        self.states: dict[str, str] = {}  # by uid: state, as told
-        self._parts: dict[str, int] = {}
-        self._sum = 0
+        self.states: dict[str, str] = {}  # state by uid, as received
+        self._entry_hashes: dict[str, int] = {}
+        self._hash_sum = 0
 
     def copy(self) -> Contents:
-        twin = Contents()
-        twin.states, twin._parts, twin._sum = dict(self.states), dict(self._parts), self._sum
-        return twin
+        """Return an independent copy."""
+        duplicate = Contents()
+        duplicate.states = dict(self.states)
+        duplicate._entry_hashes = dict(self._entry_hashes)
+        duplicate._hash_sum = self._hash_sum
+        return duplicate
 
     def apply(self, whole: bool, entries: Iterable[dict]) -> dict[str, str]:
-        """Takes the lines of a list over; returns what changed: by uid the new state ("left" if gone)."""
+        """Apply a whole list or a change. Returns the new state of each changed uid ("left" if removed)."""
         before = dict(self.states) if whole else {}
         changed: dict[str, str] = {}
         if whole:
-            self.states, self._parts, self._sum = {}, {}, 0
+            self.states = {}
+            self._entry_hashes = {}
+            self._hash_sum = 0
         for each in entries:
             uid, state = each["uid"], each["state"]
-            self._sum -= self._parts.pop(uid, 0)
-            was = before.pop(uid, None) if whole else self.states.get(uid)
+            self._hash_sum -= self._entry_hashes.pop(uid, 0)
+            previous = before.pop(uid, None) if whole else self.states.get(uid)
             self.states.pop(uid, None)
             if state != "left":
                 line = f"{uid}\0{each.get('pod_group')}\0{each.get('az')}\0{each.get('model')}\0{state}"
-                part = int.from_bytes(hashlib.blake2b(line.encode(), digest_size=WIDTH).digest(), "little")
-                self._parts[uid], self.states[uid] = part, state
-                self._sum += part
-            if state != (was or "left"):
+                entry_hash = int.from_bytes(
+                    hashlib.blake2b(line.encode(), digest_size=DIGEST_BYTES).digest(), "little"
+                )
+                self._entry_hashes[uid], self.states[uid] = entry_hash, state
+                self._hash_sum += entry_hash
+            if state != (previous or "left"):
                 changed[uid] = state
         changed.update(dict.fromkeys(before, "left"))
         return changed
 
     def digest(self) -> str:
-        return digest_of(
-            (self._sum % (1 << 8 * WIDTH)).to_bytes(WIDTH, "little") + len(self._parts).to_bytes(8, "little")
+        """Return the digest of the entries and their count."""
+        return digest_bytes(
+            (self._hash_sum % (1 << 8 * DIGEST_BYTES)).to_bytes(DIGEST_BYTES, "little")
+            + len(self._entry_hashes).to_bytes(8, "little")
         )
--- a/birchstack/fleet/wire.py
+++ b/birchstack/fleet/wire.py
@@ -1,7 +1,7 @@
-"""What a sender answers a keeper that asks for its trail: one typed value, there and back.
+"""A sender's response to a collector that polls its audit trail: one typed value, encoded and decoded.
 
-Owns the form of the answer. GET /fleet/trail?after=NUMBER&most=BYTES on the operators' door, MessagePack; a
-POST brings a question for signals along (birchstack.signals.model).
+Owns the encoding of the response. GET /fleet/trail?after=NUMBER&most=BYTES on the operators' port, answered
+in MessagePack. A POST carries a request for signals in addition (birchstack.signals.model).
 """
 
 from __future__ import annotations
@@ -11,15 +11,17 @@
 from birchstack.fleet.versions import Version
 
 PATH = "/fleet/trail"
-MOST = 256 << 10  # bytes of frames in one answer at most
-USUAL = 64 << 10
+MOST = 256 << 10  # largest size of the frames in one response, in bytes
+USUAL = 64 << 10  # size of the frames in one response if the request names none, in bytes
 
 
 class Piece(msgspec.Struct, frozen=True, kw_only=True):
-    """Frames beyond the number asked for, and what the process is at as it answers. Times in milliseconds.
+    """Frames after the requested record number, and the state of the process as it responds.
 
-    process: drawn by each process at its start; life: the one under which it acts, "" while it waits for the
-    folder. last, chain: of the newest record. failing: records are being lost just now (a full disk)."""
+    Times are in milliseconds. process: random identifier drawn by each process at its start. life: the
+    identifier under which the process acts, "" while it waits for the folder. last, chain: number and chain
+    hash of the newest record. failing: records are being lost at the moment (a full disk).
+    """
 
     name: str
     process: str
@@ -33,12 +35,12 @@
     chain: bytes = b""
     failing: bool = False
     versions: dict[str, Version] = {}
-    list_ms: float = 0.0  # when the list acted on was adopted, by the steady clock
-    heard_ms: float = 0.0  # since the watch of the list last said anything
+    list_ms: float = 0.0  # when the current list was adopted, by the steady clock
+    heard_ms: float = 0.0  # time since the list watch last received anything
     ready: bool = True
     held: int = 0
     frames: bytes = b""
-    signals: bytes = b""  # a signals.model.SignalBatch; nothing where this sender takes no part
+    signals: bytes = b""  # an encoded signals.model.SignalBatch; empty if this sender exchanges no signals
 
 
 encode = msgspec.msgpack.Encoder().encode
@@ -46,4 +48,5 @@
 
 
 def target(after: int, most: int = USUAL) -> str:
+    """Return the request target for the frames after a record number."""
     return f"{PATH}?after={after}&most={most}"
--- a/birchstack/signals/__init__.py
+++ b/birchstack/signals/__init__.py
@@ -1,1 +1,1 @@
-"""What senders tell one another of endpoints, by way of the keepers: pure modules, no clock, no socket."""
+"""Endpoint signals exchanged between senders through the collectors: pure modules, no clock, no socket."""
--- a/birchstack/signals/echo.py
+++ b/birchstack/signals/echo.py
@@ -1,20 +1,20 @@
-"""How long a keeper's question was on its way, without clocks that agree.
+"""Estimates the transit delay of a collector's request without synchronised clocks.
 
-Pure. A question repeats the sender's own steady clock from its last answer, with the time that the keeper
-held it. What is missing up to now was spent on the way of the two, or lay unread while the sender stood
-still.
+Pure. A request repeats the steady clock reading from the sender's last response, together with the time for
+which the collector held it. The remaining difference to the sender's clock was spent in transit of the
+response and the request, or the request lay unread while the sender was suspended.
 """
 
 from __future__ import annotations
 
 from birchstack.signals.model import Question
 
-MOST_DELAY_MS = 1000.0  # a question that was on its way longer is old: what it says is not believed
+MOST_DELAY_MS = 1000.0  # a request with a longer transit is stale: its evidence is discarded
 
 
-def delay_ms(question: Question, life: str, clock_ms: float) -> float | None:
-    """None where the question is too old, or was meant for another process."""
-    if question.life != life:
+def transit_delay_ms(request: Question, incarnation: str, clock_ms: float) -> float | None:
+    """Return the transit delay; None if the request is stale or was meant for another incarnation."""
+    if request.incarnation != incarnation:
         return None
-    delay = clock_ms - question.clock_ms - question.held_ms
+    delay = clock_ms - request.sender_clock_ms - request.clock_age_ms
     return max(0.0, delay) if delay <= MOST_DELAY_MS else None
--- a/birchstack/signals/model.py
+++ b/birchstack/signals/model.py
@@ -1,8 +1,9 @@
-"""The messages that carry signals between senders and keepers, and their form: MessagePack, with a version.
+"""The messages that carry signals between senders and collectors, encoded as versioned MessagePack.
 
-Owns the form only. A sender answers a keeper with a SignalBatch; the keeper's next Question takes along what
-it knows from the others as Evidence. Times are milliseconds. Ages are counted by steady clocks: each process
-adds the time that a signal lay with it, and the time on the way is bounded (birchstack.signals.echo).
+Owns the encoding only. A sender answers a collector with a SignalBatch; the collector's next request carries
+as Evidence what the collector knows from the other senders. Times are in milliseconds. Ages are counted by
+steady clocks: each process adds the time for which it held a signal, and the transit time is bounded
+(birchstack.signals.echo).
 """
 
 from __future__ import annotations
@@ -16,52 +17,64 @@
 from birchstack.interface import MOST_OBSERVERS, Report, SignalKind
 
 VERSION = 1
-LONGEST_WAIT_MS = 600_000  # a wait is passed on so long at most
-LIFETIME_MS = 10_000.0  # a served or a failed call is told of so long
+MAX_WAIT_MS = 600_000  # longer waits are passed on as this
+SIGNAL_LIFETIME_MS = 10_000.0  # served and failed calls are passed on up to this age
 
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
-Sequences = tuple[Count, Count, Count]  # one for each kind, in their order: the last one taken
+Sequences = tuple[
+    Count, Count, Count
+]  # cursor: last sequence number received of each signal kind, in kind order
 
 
 class SignalError(ValueError):
-    """Bytes that are no message of this version."""
+    """The bytes are not a message of the supported version."""
 
 
 class Signal(Struct, frozen=True, array_like=True, omit_defaults=True):
-    """One observation. sequence: its number in its observer's life. wait_ms: of a wait, as it was told."""
+    """One observation of an endpoint.
+
+    sequence: its sequence number within the observer's incarnation. wait_ms: for a wait, the time that the
+    endpoint asked for.
+    """
 
     endpoint: Name
     kind: SignalKind
     sequence: Annotated[int, Meta(ge=1, le=1 << 53)]
     age_ms: Count
-    wait_ms: Annotated[int, Meta(ge=0, le=LONGEST_WAIT_MS)] = 0
+    wait_ms: Annotated[int, Meta(ge=0, le=MAX_WAIT_MS)] = 0
 
 
 class SignalBatch(Struct, frozen=True, array_like=True):
-    """Signals of one observer. life: drawn by its process; life_ms: how long ago that process began to act.
-    heard: whether the question was believed, so that its evidence need not come again."""
+    """Signals of one observer.
+
+    incarnation: random identifier of its process. incarnation_age_ms: time since that process became active.
+    heard: whether the request's evidence was accepted, so that it need not be sent again.
+    """
 
     version: int
-    life: Name
-    life_ms: Count
+    incarnation: Name
+    incarnation_age_ms: Count
     heard: bool
     signals: tuple[Signal, ...] = ()
 
 
 class Evidence(Struct, frozen=True, array_like=True, omit_defaults=True):
-    """What a keeper knows of one endpoint, as interface.Report. served_ms: -1 where nobody was served."""
+    """What a collector knows of one endpoint, as in interface.Report. served_ms: -1 if no call was served."""
 
     endpoint: Name
     failed_by: Annotated[int, Meta(ge=0, le=MOST_OBSERVERS)] = 0
     first_ms: Count = 0
     last_ms: Count = 0
     served_ms: Annotated[int, Meta(ge=-1, le=1 << 53)] = -1
-    wait_ms: Annotated[int, Meta(ge=0, le=LONGEST_WAIT_MS)] = 0
+    wait_ms: Annotated[int, Meta(ge=0, le=MAX_WAIT_MS)] = 0
     wait_age_ms: Count = 0
 
     def report(self, delay_ms: float) -> Report:
-        """For the decisions. delay_ms: how long this was on its way. A wait is not shortened by that."""
+        """Convert to a report for the decisions, ages increased by the transit delay.
+
+        The remaining wait is not shortened by the delay.
+        """
         return Report(
             endpoint=self.endpoint,
             failed_by=self.failed_by,
@@ -74,39 +87,43 @@
 
 
 class Question(Struct, frozen=True, array_like=True):
-    """What a keeper asks a sender that takes part. taken: what it has of that sender's signals. life,
-    clock_ms: the sender's process and its steady clock, as in its last answer; held_ms: how long ago that
-    came."""
+    """A collector's request to a participating sender.
+
+    acknowledged: cursor of the signals that the collector has from that sender. incarnation,
+    sender_clock_ms: the sender's process and its steady clock, as in its last response; clock_age_ms: time
+    since that response arrived.
+    """
 
     version: int
-    taken: Sequences
-    life: Name
-    clock_ms: float
-    held_ms: float
+    acknowledged: Sequences
+    incarnation: Name
+    sender_clock_ms: float
+    clock_age_ms: float
     evidence: tuple[Evidence, ...] = ()
 
 
 Message = TypeVar("Message", SignalBatch, Question)
 _decode_batch = msgspec.msgpack.Decoder(SignalBatch).decode
-_decode_question = msgspec.msgpack.Decoder(Question).decode
+_decode_request = msgspec.msgpack.Decoder(Question).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
-def _decoded(decode: Callable[[bytes], Message], data: bytes) -> Message:
+def _decode_versioned(decode: Callable[[bytes], Message], data: bytes) -> Message:
+    """Decode a message and check its version. Raises SignalError."""
     try:
         message = decode(data)
     except msgspec.DecodeError as problem:
         raise SignalError(str(problem)) from problem
     if message.version != VERSION:
-        raise SignalError(f"version {message.version}; {VERSION} is known")
+        raise SignalError(f"unsupported version {message.version}, expected {VERSION}")
     return message
 
 
 def decode_batch(data: bytes) -> SignalBatch:
-    """Raises SignalError."""
-    return _decoded(_decode_batch, data)
+    """Decode a sender's response. Raises SignalError."""
+    return _decode_versioned(_decode_batch, data)
 
 
-def decode_question(data: bytes) -> Question:
-    """Raises SignalError."""
-    return _decoded(_decode_question, data)
+def decode_request(data: bytes) -> Question:
+    """Decode a collector's request. Raises SignalError."""
+    return _decode_versioned(_decode_request, data)
--- a/birchstack/signals/news.py
+++ b/birchstack/signals/news.py
@@ -1,4 +1,4 @@
-"""What is new to a reader that asks now and then: keys in the order of their last change, each numbered."""
+"""Index of keys by their last change, for readers that fetch what changed since their last read."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from itertools import takewhile
 
 
-class News:
-    """Holds one number for each key: that of its last change. Numbers only grow."""
+class ChangeIndex:
+    """Maps each key to the sequence number of its last change. Sequence numbers only increase."""
 
     def __init__(self) -> None:
-        self._numbers: OrderedDict[str, int] = OrderedDict()
+        self._sequences: OrderedDict[str, int] = OrderedDict()
 
-    def changed(self, key: str, number: int) -> None:
-        """number: above all given before."""
-        self._numbers[key] = number
-        self._numbers.move_to_end(key)
+    def record_change(self, key: str, sequence: int) -> None:
+        """Record a change of the key; sequence must be greater than any recorded before."""
+        self._sequences[key] = sequence
+        self._sequences.move_to_end(key)
 
-    def forget(self, key: str) -> None:
-        """Does nothing where there is no such key."""
-        self._numbers.pop(key, None)
+    def remove(self, key: str) -> None:
+        """Remove the key; does nothing if it is absent."""
+        self._sequences.pop(key, None)
 
-    def oldest(self) -> str:
-        """The key that changed longest ago. Raises StopIteration where there is none."""
-        return next(iter(self._numbers))
+    def oldest_key(self) -> str:
+        """Return the least recently changed key. Raises StopIteration if the index is empty."""
+        return next(iter(self._sequences))
 
-    def after(self, number: int) -> Iterator[tuple[str, int]]:
-        """Keys that changed after that number, the oldest change first. Walks these alone."""
-        fresh = [*takewhile(lambda item: item[1] > number, reversed(self._numbers.items()))]
-        return reversed(fresh)
+    def changes_after(self, sequence: int) -> Iterator[tuple[str, int]]:
+        """Return the keys changed after a sequence number, oldest change first. Visits only those keys."""
+        changed = [*takewhile(lambda item: item[1] > sequence, reversed(self._sequences.items()))]
+        return reversed(changed)
--- a/birchstack/signals/outbox.py
+++ b/birchstack/signals/outbox.py
@@ -1,7 +1,7 @@
-"""A sender's own signals, until every keeper had time to ask for them.
+"""Outbox of a sender's own signals, held until every collector had time to poll them.
 
-Pure. Owns their numbers and their age. Holds the newest observation of each kind for each endpoint; what has
-grown too old, or is more than MOST of one kind, is dropped, the oldest first.
+Pure. Owns the sequence numbers and ages of the signals. Holds the newest observation of each kind for each
+endpoint. Expired observations are dropped, and beyond MAX_SIGNALS_PER_KIND the oldest.
 """
 
 from __future__ import annotations
@@ -13,80 +13,92 @@
 
 from birchstack.interface import SignalKind
 from birchstack.signals.model import (
-    LIFETIME_MS,
-    LONGEST_WAIT_MS,
+    MAX_WAIT_MS,
+    SIGNAL_LIFETIME_MS,
     VERSION,
     Sequences,
     Signal,
     SignalBatch,
     encode,
 )
-from birchstack.signals.news import News
+from birchstack.signals.news import ChangeIndex
 
-MOST = 1024  # signals of each kind
-REPEAT_MS = 500.0  # the same is noted again no sooner
+MAX_SIGNALS_PER_KIND = 1024
+MIN_REPEAT_MS = 500.0  # a repeated observation is recorded only if it expires this much later than the last
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What this sender saw of one endpoint, and when, by its steady clock."""
+    """What this sender observed of one endpoint, timestamped by its steady clock."""
 
     at_ms: float
     wait_ms: int = 0
 
-    def lasts_until(self) -> float:
-        """When it is told of no more: at the end of a wait, else by its age."""
-        return self.at_ms + (self.wait_ms or LIFETIME_MS)
+    def expires_at_ms(self) -> float:
+        """Return the time from which it is no longer sent: the end of a wait, else the maximum age."""
+        return self.at_ms + (self.wait_ms or SIGNAL_LIFETIME_MS)
 
 
 class Outbox:
-    """life: the process's own name for itself; began_ms: when it began to act, by its steady clock."""
-
-    def __init__(self, life: str, began_ms: float) -> None:
-        self._life, self._began_ms = life, began_ms
-        self._sequence = 0
-        self._held: dict[SignalKind, dict[str, Observation]] = {kind: {} for kind in SignalKind}
-        self._news: dict[SignalKind, News] = {kind: News() for kind in SignalKind}
-
-    def note(self, now_ms: float, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
-        """An observation of this sender, made now."""
-        held, news = self._held[kind], self._news[kind]
-        seen = Observation(now_ms, min(int(wait_ms), LONGEST_WAIT_MS))
-        before = held.get(endpoint)
-        if before and seen.lasts_until() < before.lasts_until() + REPEAT_MS:
+    """Signals of one incarnation of a sender.
+
+    incarnation: identifier of the process. started_ms: when it became active, by its steady clock.
+    """
+
+    def __init__(self, incarnation: str, started_ms: float) -> None:
+        self._incarnation = incarnation
+        self._started_ms = started_ms
+        self._last_sequence = 0
+        self._observations: dict[SignalKind, dict[str, Observation]] = {kind: {} for kind in SignalKind}
+        self._changes: dict[SignalKind, ChangeIndex] = {kind: ChangeIndex() for kind in SignalKind}
+
+    def record(self, now_ms: float, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
+        """Record an observation that this sender makes now."""
+        observations, changes = self._observations[kind], self._changes[kind]
+        observation = Observation(now_ms, min(int(wait_ms), MAX_WAIT_MS))
+        previous = observations.get(endpoint)
+        if previous and observation.expires_at_ms() < previous.expires_at_ms() + MIN_REPEAT_MS:
             return
-        if before is None and len(held) >= MOST:
-            self._drop(kind, news.oldest())
-        self._sequence += 1
-        held[endpoint] = seen
-        news.changed(endpoint, self._sequence)
-
-    def nothing(self, now_ms: float) -> SignalBatch:
-        """For a keeper that has not met this process, or whose question was not believed."""
-        return SignalBatch(VERSION, self._life, int(now_ms - self._began_ms), False)
-
-    def batch(self, now_ms: float, taken: Sequences, room: int) -> SignalBatch:
-        """What a keeper has not yet: waits first, then served, then failed calls, the oldest first, as many
-        as go into so many bytes, one at least. The rest goes the next time, unless it has grown too old."""
+        if previous is None and len(observations) >= MAX_SIGNALS_PER_KIND:
+            self._drop(kind, changes.oldest_key())
+        self._last_sequence += 1
+        observations[endpoint] = observation
+        changes.record_change(endpoint, self._last_sequence)
+
+    def empty_batch(self, now_ms: float) -> SignalBatch:
+        """Return a batch for a collector new to this process, or whose request was not accepted."""
+        return SignalBatch(VERSION, self._incarnation, int(now_ms - self._started_ms), False)
+
+    def batch(self, now_ms: float, acknowledged: Sequences, max_bytes: int) -> SignalBatch:
+        """Return the signals that a collector has not acknowledged, up to max_bytes but at least one.
+
+        Waits come first, then served, then failed calls, each oldest first. The remaining signals are sent
+        with later batches unless they expire before.
+        """
         return msgspec.structs.replace(
-            self.nothing(now_ms), heard=True, signals=tuple(self._fresh(now_ms, taken, room))
+            self.empty_batch(now_ms),
+            heard=True,
+            signals=tuple(self._unacknowledged(now_ms, acknowledged, max_bytes)),
         )
 
-    def _fresh(self, now_ms: float, taken: Sequences, room: int) -> Iterator[Signal]:
+    def _unacknowledged(self, now_ms: float, acknowledged: Sequences, max_bytes: int) -> Iterator[Signal]:
+        """Yield the signals of a batch, dropping those that have expired."""
         first = True
-        for kind, last in zip(SignalKind, taken, strict=True):
-            for endpoint, sequence in self._news[kind].after(last):
-                seen = self._held[kind][endpoint]
-                if seen.lasts_until() <= now_ms:
+        for kind, last in zip(SignalKind, acknowledged, strict=True):
+            for endpoint, sequence in self._changes[kind].changes_after(last):
+                observation = self._observations[kind][endpoint]
+                if observation.expires_at_ms() <= now_ms:
                     self._drop(kind, endpoint)
                     continue
-                signal = Signal(endpoint, kind, sequence, int(now_ms - seen.at_ms), seen.wait_ms)
-                room -= len(encode(signal))
-                if room < 0 and not first:
+                signal = Signal(
+                    endpoint, kind, sequence, int(now_ms - observation.at_ms), observation.wait_ms
+                )
+                max_bytes -= len(encode(signal))
+                if max_bytes < 0 and not first:
                     return
                 first = False
                 yield signal
 
     def _drop(self, kind: SignalKind, endpoint: str) -> None:
-        del self._held[kind][endpoint]
-        self._news[kind].forget(endpoint)
+        del self._observations[kind][endpoint]
+        self._changes[kind].remove(endpoint)
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -67,22 +67,22 @@
 
 @mutant("a number is used twice")
 def _(patch):
-    old = trail.Trail.frame
+    old = trail.AuditTrail.encode_frame
 
     def frame(self, record):
         if self.last % 40 == 39:
             return records.frame(self.last, self.chain, record)
         return old(self, record)
 
-    patch.set(trail.Trail, "frame", frame)
+    patch.set(trail.AuditTrail, "encode_frame", frame)
 
 
 @mutant("a gap is hidden")
 def _(patch):
-    old = audit_files.AuditFiles._keep
+    old = audit_files.AuditFiles._store
     patch.set(
         audit_files.AuditFiles,
-        "_keep",
+        "_store",
         lambda self, record: True if isinstance(record, records.Gap) else old(self, record),
     )
 
@@ -103,7 +103,7 @@
     def add(self, more):
         self.tallies, self.to_ms = more.tallies, more.to_ms
 
-    patch.set(trail.Sums, "add", add)
+    patch.set(trail.StretchAccumulator, "add_part", add)
 
 
 @mutant("what is folded is taken without saying so", ("keeper cut", "keeper killed"), True)
@@ -133,7 +133,7 @@
     old = audit_files.AuditFiles.write
 
     def write(self, record, now_ms):
-        self._doubtful.clear()
+        self._recovered_gaps.clear()
         return old(self, record, now_ms)
 
     patch.set(audit_files.AuditFiles, "write", write)
--- a/tests/test_fleet_lag.py
+++ b/tests/test_fleet_lag.py
@@ -1,4 +1,4 @@
-"""What a straggler is, and what is none: the pure verdicts, and keepers of real processes with faults."""
+"""Detection of stragglers: the pure verdicts, and keepers in a rig of real processes with faults."""
 
 import asyncio
 
@@ -19,12 +19,13 @@
 GIVEN = lag.Given(((version(1), 0.0), (version(2), 5000.0), (version(3), 10_000.0)), 19_900.0)
 
 
-def view(*held, now=20_000.0, given=GIVEN, turns=None, answered=19_900.0, heard=0.0):
-    seen = [
+def judge(*held, now=20_000.0, given=GIVEN, turns=None, answered=19_900.0, heard=0.0):
+    """The verdicts on senders n0, n1 ... that hold these lists; None for a sender that never answered."""
+    sightings = [
         lag.Sighting(f"n{at}", answered if each is not None else None, each, heard)
         for at, each in enumerate(held)
     ]
-    return lag.judge(seen, given, now, BOUNDS, turns or lag.Turns())
+    return lag.judge(sightings, given, now, BOUNDS, turns or lag.Turns())
 
 
 @pytest.mark.parametrize(
@@ -40,36 +41,36 @@
         (None, lag.SILENT, "never"),
     ],
 )
-def test_each_verdict_has_its_evidence(held, what, evidence):
-    verdict = view(held, *[version(3)] * 4).verdicts[0]
+def test_each_verdict_states_its_evidence(held, what, evidence):
+    verdict = judge(held, *[version(3)] * 4).verdicts[0]
     assert verdict.what == what and evidence in verdict.evidence
     assert verdict.straggler == (what not in (lag.WELL, lag.SILENT))
 
 
-def test_news_may_take_its_time_and_a_list_that_stands_still_is_told_from_a_path_that_is_cut():
-    assert view(version(2), version(3), now=10_900.0, answered=10_800.0).verdicts[0].what == lag.WELL
-    assert "its watch beats" in view(version(2), version(3)).verdicts[0].evidence
-    assert "hears nothing" in view(version(2), version(3), heard=9000.0).verdicts[0].evidence
+def test_a_recent_list_may_be_late_and_a_frozen_list_is_distinguished_from_a_cut_link():
+    assert judge(version(2), version(3), now=10_900.0, answered=10_800.0).verdicts[0].what == lag.WELL
+    assert "its watch beats" in judge(version(2), version(3)).verdicts[0].evidence
+    assert "hears nothing" in judge(version(2), version(3), heard=9000.0).verdicts[0].evidence
 
 
-def test_a_fleet_that_is_late_as_a_whole_has_no_stragglers_nor_has_a_keeper_that_is_cut_off():
+def test_a_fleet_that_lags_as_a_whole_or_a_keeper_that_is_cut_off_yields_no_stragglers():
     for given, held, fleet in [
         (lag.Given(GIVEN.versions, 1000.0), [version(2)] * 3, lag.FLEET_STALE),
         (GIVEN, [version(2), version(2), version(3)], lag.FLEET_STALE),
         (GIVEN, [None, None, version(2)], lag.KEEPER_CUT_OFF),
         (lag.Given(GIVEN.versions, 1000.0), [None, None, version(3)], lag.KEEPER_CUT_OFF),
     ]:
-        told = view(*held, given=given)
-        assert told.fleet == fleet and told.evidence and not told.stragglers()
-    assert [each.sender for each in view(version(2), version(3), version(3)).stragglers()] == ["n0"]
+        assessment = judge(*held, given=given)
+        assert assessment.fleet == fleet and assessment.evidence and not assessment.stragglers()
+    assert [each.sender for each in judge(version(2), version(3), version(3)).stragglers()] == ["n0"]
 
 
-def test_one_that_falls_behind_again_and_again_is_flapping():
+def test_a_sender_that_falls_behind_repeatedly_is_flapping():
     turns = lag.Turns()
     for round_ in range(3):
         begin = 20_000.0 + 10_000.0 * round_
         given = lag.Given((*GIVEN.versions, (version(4 + round_), begin)), begin + 5000.0)
-        told = view(
+        assessment = judge(
             version(3 + round_),
             *[version(4 + round_)] * 3,
             now=begin + 5000.0,
@@ -77,8 +78,8 @@
             turns=turns,
             answered=begin + 4900.0,
         )
-        assert told.verdicts[0].what == (lag.FLAPPING if round_ == 2 else lag.BEHIND)
-        view(
+        assert assessment.verdicts[0].what == (lag.FLAPPING if round_ == 2 else lag.BEHIND)
+        judge(
             version(4 + round_),
             *[version(4 + round_)] * 3,
             now=begin + 6000.0,
@@ -90,70 +91,70 @@
     assert turns.many("n0", 50_000.0, 60_000.0) == 0
 
 
-QUICK = {"senders": 5, "endpoints": 2, "destinations": 2, "keeper": {"behind_s": 1.0, "silent_s": 1.0}}
+SHORT_LIMITS = {"senders": 5, "endpoints": 2, "destinations": 2, "keeper": {"behind_s": 1.0, "silent_s": 1.0}}
 
 
-def play(folder, story, **words):
-    async def whole():
-        async with Rig(folder, **{**QUICK, **words}) as rig:
-            await asyncio.sleep(1.6)  # a keeper judges once it had time to hear everybody
-            await asyncio.wait_for(story(rig), 20.0)
+def run_scenario(folder, scenario, **options):
+    async def run():
+        async with Rig(folder, **{**SHORT_LIMITS, **options}) as rig:
+            await asyncio.sleep(1.6)  # a keeper gives verdicts only once every sender had time to answer
+            await asyncio.wait_for(scenario(rig), 20.0)
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-def told(rig, keeper="k1"):
+def verdicts(rig, keeper="k1"):
     return {(each.sender, each.what) for each in Stores([rig.store(keeper)], rig.now_ms()).stragglers()}
 
 
-def test_a_sender_that_is_cut_off_is_behind_and_well_again_when_its_path_is(tmp_path):
-    async def story(rig):
-        assert told(rig) == set()
+def test_a_sender_cut_off_from_the_list_is_behind_until_its_link_is_restored(tmp_path):
+    async def scenario(rig):
+        assert verdicts(rig) == set()
         rig.link("n1", "list").cut()
         rig.list.publish(e1="leaving")
-        await rig.until(lambda: told(rig) == {("n1", "behind")})
-        rig.list.still.add("n2")  # its watch beats, and the list stands still
+        await rig.until(lambda: verdicts(rig) == {("n1", "behind")})
+        rig.list.still.add("n2")  # it gets heartbeats, but no new versions
         rig.list.publish(e1="active")
-        await rig.until(lambda: told(rig) == {("n1", "behind"), ("n2", "behind")})
+        await rig.until(lambda: verdicts(rig) == {("n1", "behind"), ("n2", "behind")})
         rows = {each.sender: each.evidence for each in Stores([rig.store("k1")], rig.now_ms()).stragglers()}
         assert "hears nothing" in rows["n1"] and "its watch beats" in rows["n2"]
         rig.list.still.clear()
         rig.link("n1", "list").open()
-        await rig.until(lambda: told(rig) == set())
+        await rig.until(lambda: verdicts(rig) == set())
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_without_a_list_service_nobody_is_a_straggler_and_a_keeper_cut_off_says_so_of_itself(tmp_path):
-    async def story(rig):
+def test_without_a_list_service_there_are_no_stragglers_and_a_keeper_cut_off_reports_itself(tmp_path):
+    async def scenario(rig):
         rig.link("n1", "list").cut()
         rig.list.publish(e1="leaving")
-        for name in (*rig.senders, *rig.keepers):  # the whole list service is gone now
+        for name in (*rig.senders, *rig.keepers):  # nobody reaches the list service any more
             rig.link(name, "list").cut()
-        await rig.until(lambda: ("", "stale") in told(rig) and ("", "stale") in told(rig, "k2"))
+        await rig.until(lambda: ("", "stale") in verdicts(rig) and ("", "stale") in verdicts(rig, "k2"))
         for name in rig.senders:
             rig.link("k2", f"{name}:ops").cut()
-        await rig.until(lambda: ("", "keeper cut off") in told(rig, "k2"))
+        await rig.until(lambda: ("", "keeper cut off") in verdicts(rig, "k2"))
         both = Stores([rig.store(each) for each in rig.keepers], rig.now_ms()).stragglers()
-        assert not [each for each in both if each.what == lag.SILENT], "the other keeper hears them all"
+        assert not [each for each in both if each.what == lag.SILENT], "the other keeper reaches all of them"
         assert ("", "stale") in {(each.sender, each.what) for each in both}
         for link in rig.links.values():
             link.open()
-        await rig.until(lambda: told(rig) == told(rig, "k2") == set(), 15.0)
+        await rig.until(lambda: verdicts(rig) == verdicts(rig, "k2") == set(), 15.0)
 
-    play(tmp_path, story, keepers=2)
+    run_scenario(tmp_path, scenario, keepers=2)
 
 
-def test_a_stopped_sender_is_silent_and_one_on_another_services_list_is_on_a_fork(tmp_path):
-    async def story(rig):
+def test_a_suspended_sender_is_silent_and_one_with_another_services_list_is_on_a_fork(tmp_path):
+    async def scenario(rig):
         rig["n1"].stop()
         await rig["n5"].kill()
         rig.add_sender("n5", lists="list2")
         await rig["n5"].start()
         rig.lists["list2"].publish(e2="leaving")
         rig.list.publish(e1="leaving")
-        await rig.until(lambda: told(rig) == {("n1", "silent"), ("n5", "on a fork")})
+        await rig.until(lambda: verdicts(rig) == {("n1", "silent"), ("n5", "on a fork")})
         rig["n1"].go()
-        await rig.until(lambda: told(rig) == {("n5", "on a fork")})
+        await rig.until(lambda: verdicts(rig) == {("n5", "on a fork")})
 
-    play(tmp_path, story, list_services=2)
+    run_scenario(tmp_path, scenario, list_services=2)
--- a/tests/test_fleet_sender.py
+++ b/tests/test_fleet_sender.py
@@ -1,4 +1,4 @@
-"""The fleet's part of one real sender: off without its file, named faults, and the trail at its door."""
+"""The fleet features of one real sender: off without their file, settings errors, and the audit trail."""
 
 import asyncio
 import os
@@ -12,43 +12,43 @@
 from birchstack.fleet.records import Acted, Adopted, Ended, Life, scan
 from birchstack.fleet.versions import FOREIGN, FORKED, LIST, NEWER, OLDER, SETTINGS
 
-ROOM = "[trail]\nbytes = 200000\n"
+FLEET_FILE = "[trail]\nbytes = 200000\n"
 
 
-def play(folder, story, monkeypatch, fleet=ROOM):
+def run_scenario(folder, scenario, monkeypatch, fleet=FLEET_FILE):
     if fleet is not None:
         (folder / "fleet.toml").write_text(fleet)
         monkeypatch.setenv("BALANCER_FLEET", str(folder / "fleet.toml"))
 
-    async def whole():
+    async def run():
         (folder / "state").mkdir()
         async with World(folder / "state") as world:
-            await asyncio.wait_for(story(world), 20.0)
+            await asyncio.wait_for(scenario(world), 20.0)
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-async def trail(world, after=0):
-    """What the door answers: the piece, and its records by number."""
+async def read_trail(world, after=0):
+    """The sender's response on the operators' port, and its records by number."""
     reader, writer = await asyncio.open_connection("127.0.0.1", world.ops)
     writer.write(f"GET {wire.target(after)} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
     head, _, body = (await reader.read()).partition(b"\r\n\r\n")
     writer.close()
     assert head.startswith(b"HTTP/1.1 200")
-    piece = wire.decode(body)
-    return piece, {each.number: each.record() for each in scan(piece.frames)}
+    response = wire.decode(body)
+    return response, {each.number: each.record() for each in scan(response.frames)}
 
 
-def test_each_call_stands_on_the_list_that_was_acted_on_when_it_began(tmp_path, monkeypatch):
-    async def story(world):
+def test_each_call_is_recorded_after_the_adoption_of_the_list_it_was_made_with(tmp_path, monkeypatch):
+    async def scenario(world):
         assert (await world.hand_in("d1"))[0] == 202
         assert await world.until(lambda: len(world.calls) == 1)
         world.say({"rev": 8, "all": False, "targets": [world.entry(uid="s-2")]})
         assert await world.until(lambda: "version=8@" in world.log())
         assert (await world.hand_in("d2"))[0] == 202
         assert await world.until(lambda: len(world.calls) == 2)
-        piece, records = await trail(world)
-        assert [*records] == [*range(1, piece.last + 1)] and piece.holds and piece.ready
+        response, records = await read_trail(world)
+        assert [*records] == [*range(1, response.last + 1)] and response.holds and response.ready
         kinds = [type(each) for each in records.values()]
         assert kinds[0] is Life and kinds.count(Acted) == 2
         lists = [
@@ -57,8 +57,8 @@
             if isinstance(each, Adopted) and each.version.kind == LIST
         ]
         assert [(each.version.number, each.order) for _, each in lists] == [(7, "first"), (8, NEWER)]
-        acted = {each.calls[0]: n for n, each in records.items() if isinstance(each, Acted)}
-        assert lists[0][0] < acted["d1"] < lists[1][0] < acted["d2"]
+        call_records = {each.calls[0]: n for n, each in records.items() if isinstance(each, Acted)}
+        assert lists[0][0] < call_records["d1"] < lists[1][0] < call_records["d2"]
         assert {each.version.kind for each in records.values() if isinstance(each, Adopted)} == {
             "program",
             "decisions",
@@ -66,23 +66,23 @@
             "settings",
             "list",
         }
-        _, rest = await trail(world, piece.last - 1)
-        assert [*rest] == [piece.last]
-        figures = (await world.operator("GET", "/metrics"))[1]
-        assert "balancer.list_number=8\n" in figures and "balancer.trail_failing=0\n" in figures
+        _, rest = await read_trail(world, response.last - 1)
+        assert [*rest] == [response.last]
+        metrics = (await world.operator("GET", "/metrics"))[1]
+        assert "balancer.list_number=8\n" in metrics and "balancer.trail_failing=0\n" in metrics
         for bad in ("?after=-1", "?after=x", "?most=9999999"):
             assert (await world.operator("GET", wire.PATH + bad))[0] == 400
 
-    play(tmp_path, story, monkeypatch)
+    run_scenario(tmp_path, scenario, monkeypatch)
 
 
-@pytest.mark.parametrize("back, numbers", [("take", [8, 7, 7, 3]), ("hold", [8, 3])])
-def test_a_list_that_goes_back_or_is_forked_is_recorded(back, numbers, tmp_path, monkeypatch):
-    async def story(world):
+@pytest.mark.parametrize("policy, numbers", [("take", [8, 7, 7, 3]), ("hold", [8, 3])])
+def test_an_older_or_forked_list_is_recorded_and_follows_the_policy(policy, numbers, tmp_path, monkeypatch):
+    async def scenario(world):
         for rev, uid, epoch in [
             (8, "s-2", ""),
             (7, "s-3", ""),
-            (7 if back == "take" else 8, "s-4", ""),
+            (7 if policy == "take" else 8, "s-4", ""),
             (3, "s-1", "restored"),
         ]:
             world.say(
@@ -94,23 +94,25 @@
                 }
             )
         await asyncio.sleep(0.2)
-        _, records = await trail(world)
-        told = [each for each in records.values() if isinstance(each, Adopted) and each.version.kind == LIST]
-        assert [each.order for each in told] == ["first", NEWER, OLDER, FORKED, FOREIGN]
-        assert [each.version.number for each in told if each.taken][1:] == numbers
-        listed = (await world.operator("GET", "/metrics"))[1]
-        assert "balancer.list_number=3\n" in listed
+        _, records = await read_trail(world)
+        received = [
+            each for each in records.values() if isinstance(each, Adopted) and each.version.kind == LIST
+        ]
+        assert [each.order for each in received] == ["first", NEWER, OLDER, FORKED, FOREIGN]
+        assert [each.version.number for each in received if each.taken][1:] == numbers
+        metrics = (await world.operator("GET", "/metrics"))[1]
+        assert "balancer.list_number=3\n" in metrics
         assert world.log().count("does not follow the one held") == 3
 
-    play(tmp_path, story, monkeypatch, ROOM + f'[list]\nback = "{back}"\n')
+    run_scenario(tmp_path, scenario, monkeypatch, FLEET_FILE + f'[list]\nback = "{policy}"\n')
 
 
-def test_a_malformed_version_leaves_the_list_as_it_was_with_the_fleet_on_or_off(tmp_path, monkeypatch):
-    async def story(world):
+def test_a_malformed_version_is_rejected_and_without_a_fleet_file_no_trail_exists(tmp_path, monkeypatch):
+    async def scenario(world):
         for rev in ("9", 9.5, True, -1, None, 1 << 70):
-            many = len(world.asked)
+            before = len(world.asked)
             world.say({"rev": rev, "all": True, "targets": []})
-            assert await world.until(lambda many=many: len(world.asked) > many)
+            assert await world.until(lambda before=before: len(world.asked) > before)
         assert world.log().count('problem="ValueError: rev: ') == 6
         assert "after=7" in world.asked[-1]
         assert (await world.hand_in("d1"))[0] == 202
@@ -119,11 +121,11 @@
         assert "balancer.list" not in (await world.operator("GET", "/metrics"))[1]
         assert not [name for name in os.listdir(world.folder) if name.startswith("trail")]
 
-    play(tmp_path, story, monkeypatch, None)
+    run_scenario(tmp_path, scenario, monkeypatch, None)
 
 
-def test_the_end_of_a_process_and_a_reload_are_in_the_trail(tmp_path, monkeypatch):
-    async def story(world):
+def test_a_reload_and_the_orderly_end_of_a_process_are_recorded(tmp_path, monkeypatch):
+    async def scenario(world):
         import signal
 
         world.configured(version=4, settings__domain__callsOut=3)
@@ -131,14 +133,18 @@
         assert await world.until(lambda: "configuration taken over" in world.log())
         assert await world.kill(signal.SIGTERM) == 0
         await world.start()
-        _, records = await trail(world)
-        kinds = [each for each in records.values()]
-        end = next(at for at, each in enumerate(kinds) if isinstance(each, Ended))
-        assert isinstance(kinds[end + 1], Life) and kinds[end + 1].life != kinds[0].life
-        told = [each.version for each in kinds if isinstance(each, Adopted) and each.version.kind == SETTINGS]
-        assert [each.number for each in told] == [None, 4, None] and len({each.digest for each in told}) == 2
+        _, records = await read_trail(world)
+        found = [each for each in records.values()]
+        end = next(at for at, each in enumerate(found) if isinstance(each, Ended))
+        assert isinstance(found[end + 1], Life) and found[end + 1].life != found[0].life
+        settings = [
+            each.version for each in found if isinstance(each, Adopted) and each.version.kind == SETTINGS
+        ]
+        assert [each.number for each in settings] == [None, 4, None] and len(
+            {each.digest for each in settings}
+        ) == 2
 
-    play(tmp_path, story, monkeypatch)
+    run_scenario(tmp_path, scenario, monkeypatch)
 
 
 @pytest.mark.parametrize(
@@ -152,27 +158,31 @@
         (None, "No such file"),
     ],
 )
-def test_a_wrong_file_of_the_fleet_ends_the_start_with_its_key_named(text, named, tmp_path):
+def test_an_invalid_fleet_file_ends_the_start_with_its_key_named(text, named, tmp_path):
     import json
 
     (tmp_path / "state").mkdir()
     (tmp_path / "c.json").write_text(json.dumps(config(tmp_path / "state", ops="127.0.0.1:5001")))
     if text is not None:
         (tmp_path / "fleet.toml").write_text(text)
-    told = {
+    environment = {
         **os.environ,
         "BALANCER_CONFIG": str(tmp_path / "c.json"),
         "BALANCER_FLEET": str(tmp_path / "fleet.toml"),
     }
-    done = subprocess.run([sys.executable, "-m", "birchstack"], env=told, capture_output=True, timeout=20)
+    done = subprocess.run(
+        [sys.executable, "-m", "birchstack"], env=environment, capture_output=True, timeout=20
+    )
     line = done.stderr.decode().strip()
     assert done.returncode == 2 and named in line and "\n" not in line
 
 
-def test_without_its_file_nothing_of_the_fleet_is_imported():
+def test_without_a_fleet_file_no_module_of_the_fleet_is_imported():
     code = (
         "import sys, birchstack.__main__ as m; m._audit_log(None); "
         "print([n for n in sys.modules if 'fleet' in n or 'msgspec' in n or 'keeper' in n])"
     )
-    told = {name: value for name, value in os.environ.items() if name != "BALANCER_FLEET"}
-    assert subprocess.run([sys.executable, "-c", code], env=told, capture_output=True).stdout == b"[]\n"
+    environment = {name: value for name, value in os.environ.items() if name != "BALANCER_FLEET"}
+    assert (
+        subprocess.run([sys.executable, "-c", code], env=environment, capture_output=True).stdout == b"[]\n"
+    )
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals between senders: the messages, what a sender offers, what a keeper merges and passes on."""
+"""Signals between senders: the messages, the sender's outbox, and the collector's merging and relaying."""
 
 import random
 
@@ -13,30 +13,31 @@
 from birchstack.signals import board as boards
 from birchstack.signals import model
 from birchstack.signals.board import START, Board
-from birchstack.signals.echo import MOST_DELAY_MS, delay_ms
-from birchstack.signals.model import LIFETIME_MS, VERSION, Question, Signal, SignalBatch
-from birchstack.signals.outbox import MOST, Outbox
+from birchstack.signals.echo import MOST_DELAY_MS, transit_delay_ms
+from birchstack.signals.model import SIGNAL_LIFETIME_MS, VERSION, Question, Signal, SignalBatch
+from birchstack.signals.outbox import MAX_SIGNALS_PER_KIND, Outbox
 
 WAIT, SERVED, FAILED = SignalKind
-ROOM = 100_000
+AMPLE_BYTES = 100_000  # room for every message of these tests
 
 
-def batch(*signals, life="life", life_ms=60_000):
-    return SignalBatch(VERSION, life, life_ms, True, signals)
+def batch(*signals, incarnation="incarnation", age_ms=60_000):
+    return SignalBatch(VERSION, incarnation, age_ms, True, signals)
 
 
-def failed(observers, endpoint="a", now=0.0, board=None, age_ms=0):
+def merge_failures(observers, endpoint="a", now=0.0, board=None, age_ms=0):
+    """A board into which each observer reported one failure of the endpoint."""
     board = Board() if board is None else board
     for observer in observers:
         board.merge(observer, batch(Signal(endpoint, FAILED, 1, age_ms)), now)
     return board
 
 
-def drawn(chance):
-    """What some senders told: whole batches, one for each life of each."""
-    told = []
+def random_batches(chance):
+    """Batches of some senders: one for each incarnation of each sender."""
+    batches = []
     for observer in range(chance.randint(2, 8)):
-        for life in range(chance.randint(1, 2)):
+        for incarnation in range(chance.randint(1, 2)):
             signals = [
                 Signal(
                     chance.choice("abc"),
@@ -47,29 +48,34 @@
                 )
                 for number in range(1, chance.randint(2, 6))
             ]
-            told.append((f"n{observer}", batch(*signals, life=f"{life}", life_ms=90_000 - 1000 * life)))
-    return told
+            batches.append(
+                (
+                    f"n{observer}",
+                    batch(*signals, incarnation=f"{incarnation}", age_ms=90_000 - 1000 * incarnation),
+                )
+            )
+    return batches
 
 
-def known(board, now):
+def all_evidence(board, now):
     return [board.evidence(endpoint, now) for endpoint in "abc"]
 
 
-def test_merging_in_any_order_and_again_comes_to_the_same():
+def test_merging_is_commutative_and_idempotent():
     chance = random.Random("merging")
     for _ in range(300):
-        told, ends = drawn(chance), set()
+        batches, results = random_batches(chance), set()
         for _ in range(4):
             board = Board()
-            again = [*told, *chance.sample(told, len(told) // 2)]
-            chance.shuffle(again)
-            for observer, each in again:
+            repeated = [*batches, *chance.sample(batches, len(batches) // 2)]
+            chance.shuffle(repeated)
+            for observer, each in repeated:
                 board.merge(observer, each, 1e6)
-            ends.add(str(known(board, 1e6)))
-        assert len(ends) == 1
+            results.add(str(all_evidence(board, 1e6)))
+        assert len(results) == 1
 
 
-def test_merging_beyond_the_most_observers_keeps_the_newest_in_any_order():
+def test_merging_beyond_the_observer_limit_keeps_the_newest_in_any_order():
     chance = random.Random("many")
     ages = {f"n{at:02}": 100 * at for at in range(MOST_OBSERVERS + 9)}
     for _ in range(50):
@@ -80,263 +86,271 @@
         assert board.evidence("a", 1e6) == model.Evidence("a", MOST_OBSERVERS, 100 * (MOST_OBSERVERS - 1), 0)
 
 
-def test_one_observer_counts_once_however_much_it_says():
+def test_one_observer_counts_once_however_many_signals_it_sends():
     board = Board()
     for number in range(1, 60):
-        board.merge("liar", batch(Signal("a", FAILED, number, 0)), 50.0 * number)
+        board.merge("noisy", batch(Signal("a", FAILED, number, 0)), 50.0 * number)
     assert board.evidence("a", 3000.0).failed_by == 1
 
 
-def test_what_a_former_life_said_counts_no_more_and_is_not_taken_again():
-    board = failed(["n1", "n2"])
+def test_signals_of_an_earlier_incarnation_no_longer_count_and_are_not_merged_again():
+    board = merge_failures(["n1", "n2"])
     assert board.evidence("a", 0.0).failed_by == 2
-    board.merge("n1", batch(life="next", life_ms=10), 1000.0)
+    board.merge("n1", batch(incarnation="next", age_ms=10), 1000.0)
     assert board.evidence("a", 1000.0).failed_by == 1
-    late = batch(Signal("a", FAILED, 9, 0), Signal("b", FAILED, 10, 0), life_ms=61_000)
+    late = batch(Signal("a", FAILED, 9, 0), Signal("b", FAILED, 10, 0), age_ms=61_000)
     assert not board.merge("n1", late, 1000.0)
     assert board.evidence("a", 1000.0).failed_by == 1 and board.evidence("b", 1000.0) is None
 
 
-def test_a_signal_ends_by_its_age_and_a_wait_by_its_end():
-    board = failed(["n1"], age_ms=4000)
+def test_a_signal_expires_by_age_and_a_wait_at_its_end():
+    board = merge_failures(["n1"], age_ms=4000)
     board.merge("n2", batch(Signal("b", WAIT, 1, 2000, 30_000)), 0.0)
-    assert board.evidence("a", LIFETIME_MS - 4001.0) and not board.evidence("a", LIFETIME_MS - 3999.0)
+    assert board.evidence("a", SIGNAL_LIFETIME_MS - 4001.0)
+    assert not board.evidence("a", SIGNAL_LIFETIME_MS - 3999.0)
     assert board.evidence("b", 27_000.0) == model.Evidence("b", wait_ms=1000, wait_age_ms=29_000)
     assert board.evidence("b", 28_000.0) is None
-    assert not board.merge("n3", batch(Signal("c", FAILED, 1, int(LIFETIME_MS))), 0.0)
+    assert not board.merge("n3", batch(Signal("c", FAILED, 1, int(SIGNAL_LIFETIME_MS))), 0.0)
 
 
-def test_what_has_ended_is_forgotten_though_nobody_asks_for_it():
-    board = failed(["n1"], "ended")
-    board.merge("n1", batch(Signal("shut", WAIT, 2, 0, 600_000)), 1.0)
+def test_expired_entries_are_removed_without_being_read():
+    board = merge_failures(["n1"], "expired")
+    board.merge("n1", batch(Signal("waiting", WAIT, 2, 0, 600_000)), 1.0)
     for number in range(3, 20):
-        board.merge("n1", batch(Signal("now", FAILED, number, 0)), 2 * LIFETIME_MS + number)
-    assert len(board) == 2 and board.evidence("shut", 3 * LIFETIME_MS)
+        board.merge("n1", batch(Signal("current", FAILED, number, 0)), 2 * SIGNAL_LIFETIME_MS + number)
+    assert len(board) == 2 and board.evidence("waiting", 3 * SIGNAL_LIFETIME_MS)
 
 
-def test_a_served_call_ends_the_failures_before_it():
-    board = failed(["n1", "n2", "n3"], age_ms=500)
+def test_a_served_call_cancels_the_failures_before_it():
+    board = merge_failures(["n1", "n2", "n3"], age_ms=500)
     board.merge("n4", batch(Signal("a", SERVED, 1, 100)), 0.0)
     assert board.evidence("a", 0.0) == model.Evidence("a", served_ms=100)
-    failed(["n5"], board=board, age_ms=50)
+    merge_failures(["n5"], board=board, age_ms=50)
     assert board.evidence("a", 0.0) == model.Evidence("a", 1, 50, 50, 100)
 
 
-def test_one_that_names_ever_more_endpoints_does_not_drive_out_what_several_saw(monkeypatch):
-    monkeypatch.setattr(boards, "MOST_ENDPOINTS", 50)
-    board = failed(["n1", "n2"], "seen")
+def test_one_observer_naming_ever_more_endpoints_does_not_evict_what_several_observed(monkeypatch):
+    monkeypatch.setattr(boards, "MAX_ENDPOINTS", 50)
+    board = merge_failures(["n1", "n2"], "confirmed")
     for number in range(1, 500):
-        board.merge("liar", batch(Signal(f"e{number}", FAILED, number, 0)), number / 100.0)
-    assert len(board) == 50 and board.evidence("seen", 5.0).failed_by == 2
+        board.merge("noisy", batch(Signal(f"e{number}", FAILED, number, 0)), number / 100.0)
+    assert len(board) == 50 and board.evidence("confirmed", 5.0).failed_by == 2
 
 
-def test_a_reader_is_told_each_change_once_waits_first_and_no_more_than_it_has_room_for():
-    board = failed(["n1"], "f1")
-    failed(["n1"], "f2", board=board)
+def test_a_reader_gets_each_change_once_waits_first_and_within_its_byte_limit():
+    board = merge_failures(["n1"], "f1")
+    merge_failures(["n1"], "f2", board=board)
     board.merge("n2", batch(Signal("s1", SERVED, 1, 0), Signal("w1", WAIT, 2, 0, 9000)), 0.0)
-    told, after = board.news(START, 0.0, ROOM)
-    assert [each.endpoint for each in told] == ["w1", "s1", "f1", "f2"]
-    assert board.news(after, 0.0, ROOM) == ((), after)
-    failed(["n2"], "f1", board=board)
-    told, after = board.news(after, 0.0, ROOM)
-    assert [(each.endpoint, each.failed_by) for each in told] == [("f1", 2)]
-    seen, after, times = [], START, 0
-    while told := board.news(after, 0.0, 30):
-        told, after = told
-        assert len(b"".join(map(model.encode, told))) <= 30
-        seen += [each.endpoint for each in told]
-        times += 1
-        if not told:
+    evidence, cursor = board.news(START, 0.0, AMPLE_BYTES)
+    assert [each.endpoint for each in evidence] == ["w1", "s1", "f1", "f2"]
+    assert board.news(cursor, 0.0, AMPLE_BYTES) == ((), cursor)
+    merge_failures(["n2"], "f1", board=board)
+    evidence, cursor = board.news(cursor, 0.0, AMPLE_BYTES)
+    assert [(each.endpoint, each.failed_by) for each in evidence] == [("f1", 2)]
+    seen, cursor, reads = [], START, 0
+    while changes := board.news(cursor, 0.0, 30):
+        evidence, cursor = changes
+        assert len(b"".join(map(model.encode, evidence))) <= 30
+        seen += [each.endpoint for each in evidence]
+        reads += 1
+        if not evidence:
             break
-    assert seen == ["w1", "s1", "f2", "f1"] and times > 2
+    assert seen == ["w1", "s1", "f2", "f1"] and reads > 2
 
 
-def test_an_observation_that_tells_nothing_new_is_no_news():
-    board = failed(["n1", "n2"])
-    _, after = board.news(START, 0.0, ROOM)
+def test_an_observation_without_new_information_is_not_a_change():
+    board = merge_failures(["n1", "n2"])
+    _, cursor = board.news(START, 0.0, AMPLE_BYTES)
     for number in range(2, 40):
         board.merge("n1", batch(Signal("a", FAILED, number, 0)), 100.0 * number)
-    assert board.news(after, 4000.0, ROOM)[0] == ()
-    later = 5 * LIFETIME_MS
+    assert board.news(cursor, 4000.0, AMPLE_BYTES)[0] == ()
+    later = 5 * SIGNAL_LIFETIME_MS
     board.merge("n1", batch(Signal("a", FAILED, 41, 0)), later)
-    assert [each.failed_by for each in board.news(after, later, ROOM)[0]] == [1], "a new trouble"
-
-
-def test_a_sender_offers_what_is_new_and_not_too_old():
-    outbox = Outbox("life", 0.0)
-    outbox.note(100.0, "a", FAILED, 0.0)
-    outbox.note(101.0, "a", FAILED, 0.0)
-    outbox.note(102.0, "b", WAIT, 700_000.0)
-    told = outbox.batch(200.0, START, ROOM)
-    assert told.signals == (Signal("b", WAIT, 2, 98, model.LONGEST_WAIT_MS), Signal("a", FAILED, 1, 100))
-    assert told.life_ms == 200 and told.heard
-    assert outbox.batch(200.0, (2, 0, 1), ROOM).signals == ()
-    outbox.note(700.0, "a", FAILED, 0.0)
-    assert [each.sequence for each in outbox.batch(700.0, (2, 0, 1), ROOM).signals] == [3]
-    assert [each.endpoint for each in outbox.batch(60_000.0, START, ROOM).signals] == ["b"], "stood still"
-
-
-def test_a_sender_offers_no_more_than_its_room_and_keeps_no_more_than_its_most():
-    outbox = Outbox("life", 0.0)
-    for number in range(MOST + 50):
-        outbox.note(1.0, f"e{number}", FAILED, 0.0)
-    taken, seen = START, []
-    while signals := outbox.batch(2.0, taken, 200).signals:
+    changed = board.news(cursor, later, AMPLE_BYTES)[0]
+    assert [each.failed_by for each in changed] == [1], "a new failure"
+
+
+def test_an_outbox_sends_what_is_new_and_not_expired():
+    outbox = Outbox("incarnation", 0.0)
+    outbox.record(100.0, "a", FAILED, 0.0)
+    outbox.record(101.0, "a", FAILED, 0.0)
+    outbox.record(102.0, "b", WAIT, 700_000.0)
+    sent = outbox.batch(200.0, START, AMPLE_BYTES)
+    assert sent.signals == (Signal("b", WAIT, 2, 98, model.MAX_WAIT_MS), Signal("a", FAILED, 1, 100))
+    assert sent.incarnation_age_ms == 200 and sent.heard
+    assert outbox.batch(200.0, (2, 0, 1), AMPLE_BYTES).signals == ()
+    outbox.record(700.0, "a", FAILED, 0.0)
+    assert [each.sequence for each in outbox.batch(700.0, (2, 0, 1), AMPLE_BYTES).signals] == [3]
+    late = outbox.batch(60_000.0, START, AMPLE_BYTES).signals
+    assert [each.endpoint for each in late] == ["b"], "the sender was suspended meanwhile"
+
+
+def test_an_outbox_keeps_the_byte_limit_of_a_batch_and_its_own_capacity():
+    outbox = Outbox("incarnation", 0.0)
+    for number in range(MAX_SIGNALS_PER_KIND + 50):
+        outbox.record(1.0, f"e{number}", FAILED, 0.0)
+    acknowledged, seen = START, []
+    while signals := outbox.batch(2.0, acknowledged, 200).signals:
         assert sum(len(model.encode(each)) for each in signals) <= 200
         seen += [each.endpoint for each in signals]
-        taken = (0, 0, signals[-1].sequence)
-    assert seen == [f"e{number}" for number in range(50, MOST + 50)]
+        acknowledged = (0, 0, signals[-1].sequence)
+    assert seen == [f"e{number}" for number in range(50, MAX_SIGNALS_PER_KIND + 50)]
 
 
-def test_one_that_is_longer_than_the_room_holds_nothing_up():
-    long = "e" * 250
-    outbox, board = Outbox("life", 0.0), Board()
-    for endpoint in (long, "a"):
-        outbox.note(1.0, endpoint, FAILED, 0.0)
-        failed(["n1"], endpoint, board=board)
-    assert [each.endpoint for each in outbox.batch(2.0, START, 64).signals] == [long]
+def test_an_item_larger_than_the_byte_limit_is_sent_alone_and_blocks_nothing():
+    long_name = "e" * 250
+    outbox, board = Outbox("incarnation", 0.0), Board()
+    for endpoint in (long_name, "a"):
+        outbox.record(1.0, endpoint, FAILED, 0.0)
+        merge_failures(["n1"], endpoint, board=board)
+    assert [each.endpoint for each in outbox.batch(2.0, START, 64).signals] == [long_name]
     assert [each.endpoint for each in outbox.batch(2.0, (0, 0, 1), 64).signals] == ["a"]
-    told, after = board.news(START, 0.0, 64)
-    assert [each.endpoint for each in told] == [long]
-    assert [each.endpoint for each in board.news(after, 0.0, 64)[0]] == ["a"]
+    evidence, cursor = board.news(START, 0.0, 64)
+    assert [each.endpoint for each in evidence] == [long_name]
+    assert [each.endpoint for each in board.news(cursor, 0.0, 64)[0]] == ["a"]
 
 
-def test_with_the_defaults_and_two_keepers_it_is_a_kilobyte_a_second_at_most():
-    pair, sizes = Pair(*(f"n{number}" for number in range(8))), []
-    pair.rounds()
+def test_one_exchange_with_the_default_settings_takes_at_most_500_bytes():
+    """With two keepers polling each sender once a second this bounds the signals to 1 kB/s."""
+    exchange, sizes = SignalExchange(*(f"n{number}" for number in range(8))), []
+    exchange.rounds()
     for _ in range(20):
-        for place, sender in enumerate(pair.senders.values()):
+        for place, sender in enumerate(exchange.senders.values()):
             for number in range(200):
                 sender.observed(f"s-5be2a07c-{place}-{number}", FAILED, 0.0)
-        pair.now += 1000.0
-        question = pair.relay.question("n1", pair.now)
-        sizes.append(len(question) + len(pair.senders["n1"].answer(question)))
-        pair.rounds(1)
+        exchange.now += 1000.0
+        request = exchange.relay.question("n1", exchange.now)
+        sizes.append(len(request) + len(exchange.senders["n1"].answer(request)))
+        exchange.rounds(1)
     assert 400 < max(sizes) <= 500
 
 
-def test_a_question_counts_only_for_the_process_that_it_was_meant_for_and_while_it_is_fresh():
-    question = Question(VERSION, START, "life", 5000.0, 400.0)
-    assert delay_ms(question, "life", 5403.0) == 3.0
-    assert delay_ms(question, "life", 5400.0 + MOST_DELAY_MS) == MOST_DELAY_MS
-    assert delay_ms(question, "life", 5401.0 + MOST_DELAY_MS) is None
-    assert delay_ms(question, "life", 65_000.0) is None, "it lay there while the sender stood still"
-    assert delay_ms(question, "other", 5403.0) is None
+def test_a_request_is_accepted_only_by_its_addressed_process_and_while_it_is_fresh():
+    request = Question(VERSION, START, "incarnation", 5000.0, 400.0)
+    assert transit_delay_ms(request, "incarnation", 5403.0) == 3.0
+    assert transit_delay_ms(request, "incarnation", 5400.0 + MOST_DELAY_MS) == MOST_DELAY_MS
+    assert transit_delay_ms(request, "incarnation", 5401.0 + MOST_DELAY_MS) is None
+    unread = transit_delay_ms(request, "incarnation", 65_000.0)
+    assert unread is None, "it lay unread while the sender was suspended"
+    assert transit_delay_ms(request, "other", 5403.0) is None
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x93\x01\x02", model.encode([2, "life", 1, True, []])])
-def test_bytes_that_are_no_message_of_this_version_are_told_so(data):
+def test_invalid_messages_and_other_versions_raise_an_error(data):
     with pytest.raises(model.SignalError):
         model.decode_batch(data)
     with pytest.raises(model.SignalError):
-        model.decode_question(data)
+        model.decode_request(data)
 
 
-class Pair:
-    """One keeper's relay and some senders, with a clock by hand."""
+class SignalExchange:
+    """One keeper's relay and some senders, with a clock set by the test."""
 
     def __init__(self, *names):
         self.now, self.relay = 0.0, Relay(Asks().signal_bytes)
-        self.heard = {name: [] for name in names}
-        self.senders = {name: self.made(name) for name in names}
-
-    def made(self, name, life="1"):
-        made = Signalling(Signals(), f"{name}/{life}", lambda: self.now, self.heard[name].extend)
-        made.begins()
-        return made
-
-    def exchange(self, name, there_ms=1.0, back_ms=1.0, lost=False, answers_as=None):
-        question, asked_ms = self.relay.question(name, self.now), self.now
-        self.now += there_ms
+        self.reports = {name: [] for name in names}
+        self.senders = {name: self.start_sender(name) for name in names}
+
+    def start_sender(self, name, incarnation="1"):
+        sender = Signalling(Signals(), f"{name}/{incarnation}", lambda: self.now, self.reports[name].extend)
+        sender.begins()
+        return sender
+
+    def poll(self, name, request_ms=1.0, response_ms=1.0, lost=False, answers_as=None):
+        """The relay polls one sender; lost: the response does not arrive."""
+        request, sent_ms = self.relay.question(name, self.now), self.now
+        self.now += request_ms
         sender = self.senders[name]
-        piece = wire.Piece(
+        response = wire.Piece(
             name=answers_as or name,
-            process=sender._life,
+            process=sender._incarnation,
             boot="",
             wall_ms=0.0,
             steady_ms=self.now,
-            signals=sender.answer(question or b""),
+            signals=sender.answer(request or b""),
         )
-        self.now += back_ms
+        self.now += response_ms
         if not lost:
-            self.relay.answered(name, name, piece, asked_ms, self.now)
+            self.relay.answered(name, name, response, sent_ms, self.now)
 
-    def rounds(self, many=2):
-        for _ in range(many):
+    def rounds(self, count=2):
+        for _ in range(count):
             for name in self.senders:
-                self.exchange(name)
+                self.poll(name)
 
 
-def test_what_one_sender_sees_the_others_are_told_with_its_age():
-    pair = Pair("n1", "n2")
-    pair.rounds()
-    pair.senders["n1"].observed("a", FAILED, 0.0)
-    pair.now += 500.0
-    pair.rounds()
-    (report,) = pair.heard["n2"]
+def test_an_observation_reaches_the_other_senders_once_with_its_age():
+    exchange = SignalExchange("n1", "n2")
+    exchange.rounds()
+    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.now += 500.0
+    exchange.rounds()
+    (report,) = exchange.reports["n2"]
     assert (report.endpoint, report.failed_by) == ("a", 1) and 500.0 < report.last_ms < 510.0
-    pair.rounds(3)
-    assert len(pair.heard["n2"]) == 1
-    assert pair.senders["n2"].live()
-    pair.now += 4000.0
-    assert not pair.senders["n2"].live()
-
-
-def test_evidence_comes_again_until_an_answer_says_that_it_was_heard():
-    pair = Pair("n1", "n2")
-    pair.rounds()
-    pair.senders["n1"].observed("a", FAILED, 0.0)
-    pair.exchange("n1")
-    pair.exchange("n2", lost=True)
-    pair.exchange("n2", there_ms=2 * MOST_DELAY_MS)
-    assert len(pair.heard["n2"]) == 1, "the late one was not believed"
-    pair.exchange("n2")
-    assert len(pair.heard["n2"]) == 2
-    pair.exchange("n2")
-    assert len(pair.heard["n2"]) == 2
-
-
-def test_an_answer_that_was_long_on_its_way_is_not_believed_and_asked_for_again():
-    pair = Pair("n1", "n2")
-    pair.rounds()
-    pair.senders["n1"].observed("a", FAILED, 0.0)
-    pair.exchange("n1", back_ms=2 * MOST_DELAY_MS)
-    assert pair.relay.board.evidence("a", pair.now) is None
-    pair.exchange("n1")  # by the clock of the late answer: not believed there either
-    pair.exchange("n1")
-    assert pair.relay.board.evidence("a", pair.now).failed_by == 1
-
-
-def test_a_new_process_behind_a_door_is_told_all_that_is_known_and_its_former_life_counts_no_more():
-    pair = Pair("n1", "n2", "n3")
-    pair.rounds()
-    pair.senders["n1"].observed("a", FAILED, 0.0)
-    pair.senders["n3"].observed("a", FAILED, 0.0)
-    pair.rounds()
-    assert pair.relay.board.evidence("a", pair.now).failed_by == 2
-    pair.now += 50.0
-    pair.heard["n1"].clear()
-    pair.senders["n1"] = pair.made("n1", "2")
-    pair.exchange("n1")
-    assert not pair.heard["n1"] and pair.relay.board.evidence("a", pair.now).failed_by == 1
-    pair.exchange("n1")
-    assert [each.failed_by for each in pair.heard["n1"]] == [1]
-
-
-def test_a_door_that_answers_under_another_name_or_offers_none_takes_no_part():
-    pair = Pair("n1", "n2")
-    pair.rounds()
-    pair.senders["n1"].observed("a", FAILED, 0.0)
-    pair.exchange("n1", answers_as="n9")
-    assert pair.relay.question("n1", pair.now) is None
-    assert pair.relay.board.evidence("a", pair.now) is None
-    waiting = Signalling(Signals(), "w", lambda: pair.now, print)
-    assert waiting.answer(b"") == b"" and waiting.answer(b"spoilt") == b""
-
-
-def test_a_question_that_cannot_be_read_changes_nothing():
-    pair = Pair("n1")
-    pair.rounds()
-    pair.now += 60_000.0
-    assert model.decode_batch(pair.senders["n1"].answer(b"spoilt")).heard is False
-    assert not pair.senders["n1"].live() and ("signals_refused", 1) in pair.senders["n1"].figures()
+    exchange.rounds(3)
+    assert len(exchange.reports["n2"]) == 1
+    assert exchange.senders["n2"].live()
+    exchange.now += 4000.0
+    assert not exchange.senders["n2"].live()
+
+
+def test_evidence_is_sent_again_until_a_response_acknowledges_it():
+    exchange = SignalExchange("n1", "n2")
+    exchange.rounds()
+    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.poll("n1")
+    exchange.poll("n2", lost=True)
+    exchange.poll("n2", request_ms=2 * MOST_DELAY_MS)
+    assert len(exchange.reports["n2"]) == 1, "the stale request was rejected"
+    exchange.poll("n2")
+    assert len(exchange.reports["n2"]) == 2
+    exchange.poll("n2")
+    assert len(exchange.reports["n2"]) == 2
+
+
+def test_a_response_with_a_long_transit_is_discarded_and_requested_again():
+    exchange = SignalExchange("n1", "n2")
+    exchange.rounds()
+    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.poll("n1", response_ms=2 * MOST_DELAY_MS)
+    assert exchange.relay.board.evidence("a", exchange.now) is None
+    exchange.poll("n1")  # repeats the clock of the late response: rejected by the sender, too
+    exchange.poll("n1")
+    assert exchange.relay.board.evidence("a", exchange.now).failed_by == 1
+
+
+def test_a_restarted_sender_gets_all_evidence_and_its_earlier_incarnation_no_longer_counts():
+    exchange = SignalExchange("n1", "n2", "n3")
+    exchange.rounds()
+    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.senders["n3"].observed("a", FAILED, 0.0)
+    exchange.rounds()
+    assert exchange.relay.board.evidence("a", exchange.now).failed_by == 2
+    exchange.now += 50.0
+    exchange.reports["n1"].clear()
+    exchange.senders["n1"] = exchange.start_sender("n1", "2")
+    exchange.poll("n1")
+    assert not exchange.reports["n1"]
+    assert exchange.relay.board.evidence("a", exchange.now).failed_by == 1
+    exchange.poll("n1")
+    assert [each.failed_by for each in exchange.reports["n1"]] == [1]
+
+
+def test_a_sender_that_answers_under_another_name_or_without_signals_is_left_out():
+    exchange = SignalExchange("n1", "n2")
+    exchange.rounds()
+    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.poll("n1", answers_as="n9")
+    assert exchange.relay.question("n1", exchange.now) is None
+    assert exchange.relay.board.evidence("a", exchange.now) is None
+    inactive = Signalling(Signals(), "w", lambda: exchange.now, print)
+    assert inactive.answer(b"") == b"" and inactive.answer(b"invalid") == b""
+
+
+def test_a_request_that_cannot_be_decoded_changes_nothing():
+    exchange = SignalExchange("n1")
+    exchange.rounds()
+    exchange.now += 60_000.0
+    assert model.decode_batch(exchange.senders["n1"].answer(b"invalid")).heard is False
+    assert not exchange.senders["n1"].live()
+    assert ("signals_refused", 1) in exchange.senders["n1"].figures()
