--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -344,13 +344,13 @@
     assert exchange.relay.question("n1", exchange.now) is None
     assert exchange.relay.board.evidence("a", exchange.now) is None
     inactive = Signalling(Signals(), "w", lambda: exchange.now, print)
-    assert inactive.answer(b"") == b"" and inactive.answer(b"invalid") == b""
+    assert inactive.answer(b"") == b"" and inactive.answer(b"spoilt") == b""
 
 
 def test_a_request_that_cannot_be_decoded_changes_nothing():
     exchange = SignalExchange("n1")
     exchange.rounds()
     exchange.now += 60_000.0
-    assert model.decode_batch(exchange.senders["n1"].answer(b"invalid")).heard is False
+    assert model.decode_batch(exchange.senders["n1"].answer(b"spoilt")).heard is False
     assert not exchange.senders["n1"].live()
     assert ("signals_refused", 1) in exchange.senders["n1"].figures()
