--- a/benchmarks/capacity/audit.py
+++ b/benchmarks/capacity/audit.py
@@ -15,7 +15,7 @@
 from birchstack.fleet import settings as fleet_settings
 from birchstack.fleet import wire
 from birchstack.fleet.audit_log import FleetAuditLog
-from birchstack.fleet.records import Damage, scan
+from birchstack.fleet.records import Damage, scan_frames
 from birchstack.net import http1
 from birchstack.net.audit import SenderStatus
 from birchstack.net.config import decode
@@ -40,9 +40,9 @@
     """An audit log and its folder, as net.sender.Node holds them."""
 
     def __init__(self, folder: str) -> None:
-        machine, fleet = Machine(), fleet_settings.Fleet()
+        machine, fleet = Machine(), fleet_settings.FleetSettings()
         raw = site.sender("n1", "127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9", folder, 1, {}, 550)
-        config = fleet_settings.room_for(fleet, decode(raw, {}))
+        config = fleet_settings.reserve_trail_space(fleet, decode(raw, {}))
         self.room = fleet.trail.bytes
         self.audit = FleetAuditLog(
             fleet, config, machine, machine.folder(folder), lambda: SenderStatus(True, 100, 900.0), print
@@ -54,10 +54,10 @@
 
     def asked(self) -> None:
         """A keeper asks until it has all."""
-        request = http1.request("GET", wire.target(self.taken), "127.0.0.1:7401")
+        request = http1.request("GET", wire.request_target(self.taken), "127.0.0.1:7401")
         answer = self.audit.asked({"after": [str(self.taken)]}, b"")
         piece = wire.decode(answer.content)
-        frames = [each for each in scan(piece.frames) if not isinstance(each, Damage)]
+        frames = [each for each in scan_frames(piece.frames) if not isinstance(each, Damage)]
         self.wire_bytes += len(request) + len(answer.bytes())
         self.records += len(frames)
         if frames:
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -107,8 +107,8 @@
     raw = site.sender(name, "127.0.0.1:9", "127.0.0.1:9", lists, "/", seed, {}, senders)
     config, make = decode(raw, {}), None
     if fleet:
-        told = fleet_settings.Fleet(fleet_settings.Trail(400_000))
-        config, make = fleet_settings.room_for(told, config), audit_log.maker(told)
+        told = fleet_settings.FleetSettings(fleet_settings.TrailSettings(400_000))
+        config, make = fleet_settings.reserve_trail_space(told, config), audit_log.audit_log_factory(told)
     return Hollow(config, loop, HollowMachine(), make)
 
 
--- a/benchmarks/capacity/keepers.py
+++ b/benchmarks/capacity/keepers.py
@@ -11,7 +11,7 @@
 import time
 
 from birchstack.fleet import wire
-from birchstack.fleet.records import START, Acted, Adopted, Life, frame
+from birchstack.fleet.records import INITIAL_CHAIN, ProcessStart, TurnActions, VersionAdopted, encode_frame
 from birchstack.fleet.versions import LIST, Version
 from birchstack.keeper.store import Store
 
@@ -27,19 +27,21 @@
 }
 
 
-def pieces(sender: int, records: int) -> tuple[list[wire.Piece], int]:
+def pieces(sender: int, records: int) -> tuple[list[wire.TrailResponse], int]:
     """What one door answers in turn, and the bytes of all its frames."""
-    chain, made, frames, size = START, [], [], 0
+    chain, made, frames, size = INITIAL_CHAIN, [], [], 0
     held = Version(LIST, "x", "", 1, "0" * 32)
-    calls = [Acted(1.0 + at, (f"9b1f{sender:04x}{at:08x}", f"s-{at % 40:08x}")) for at in range(records)]
-    first = [Life("l", f"n{sender}", "b", 0.0, 0.0), Adopted(held, "first", "x", 0.0, 0.0)]
+    calls = [
+        TurnActions(1.0 + at, (f"9b1f{sender:04x}{at:08x}", f"s-{at % 40:08x}")) for at in range(records)
+    ]
+    first = [ProcessStart("l", f"n{sender}", "b", 0.0, 0.0), VersionAdopted(held, "first", "x", 0.0, 0.0)]
     for number, record in enumerate(first + calls, 1):
-        data, chain = frame(number, chain, record)
+        data, chain = encode_frame(number, chain, record)
         frames.append(data)
         size += len(data)
         if len(frames) == PIECE or number == records + 2:
             made.append(
-                wire.Piece(
+                wire.TrailResponse(
                     name=f"n{sender}",
                     process="p",
                     boot="b",
--- a/benchmarks/capacity/signals.py
+++ b/benchmarks/capacity/signals.py
@@ -22,9 +22,9 @@
 from birchstack import interface as our
 from birchstack.decide import Sender
 from birchstack.emulator.destinations import most_calls
-from birchstack.fleet.settings import Signals
-from birchstack.fleet.signalling import Signalling
-from birchstack.fleet.wire import Piece
+from birchstack.fleet.settings import SignalSettings
+from birchstack.fleet.signalling import SignalParticipant
+from birchstack.fleet.wire import TrailResponse
 from birchstack.keeper.config import Asks
 from birchstack.keeper.relay import Relay
 
@@ -79,8 +79,10 @@
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.number, self.name = fleet, number, f"n{number}"
         self.linked = False
-        self.signalling = Signalling(Signals(), f"{number:016x}", lambda: fleet.now, self._reported)
-        self.signalling.begins()
+        self.signalling = SignalParticipant(
+            SignalSettings(), f"{number:016x}", lambda: fleet.now, self._reported
+        )
+        self.signalling.start()
         self.core = Sender(settings(fleet.senders), fleet.chance.getrandbits(32), self)
         self.core.endpoints(0.0, our.WHOLE, [our.Endpoint(ENDPOINT, 1, "a", 0, our.READY, 0.0)])
         self.core.turn(0.0)
@@ -99,7 +101,7 @@
         self.turn()
 
     def link(self) -> None:
-        if self.linked != self.signalling.live():
+        if self.linked != self.signalling.is_live():
             self.linked = not self.linked
             self.core.linked(self.fleet.now, self.linked)
 
@@ -109,7 +111,7 @@
         self.fleet.called(self, doc_id, self.core._held[doc_id], patience_ms)
 
     def observed(self, endpoint: str, kind: our.SignalKind, wait_ms: float) -> None:
-        self.signalling.observed(endpoint, kind, wait_ms)
+        self.signalling.record_observation(endpoint, kind, wait_ms)
 
     def wake(self, after_ms: float) -> None:
         self.fleet.later(max(after_ms, 0.02), self.turn)
@@ -202,11 +204,11 @@
 
     def _asked(self, relay: Relay, member: Member, question: bytes | None, asked_ms: float) -> None:
         began = time.process_time()
-        signals = member.signalling.answer(question or b"")
+        signals = member.signalling.respond(question or b"")
         self.seen.cpu_s += time.process_time() - began
         self.seen.bytes += len(signals)
         self.seen.exchanges += 1
-        piece = Piece(
+        piece = TrailResponse(
             name=member.name,
             process=f"{member.number:016x}",
             boot="",
@@ -216,7 +218,7 @@
         )
         self.later(WAY_MS, self._answered, relay, member, piece, asked_ms)
 
-    def _answered(self, relay: Relay, member: Member, piece: Piece, asked_ms: float) -> None:
+    def _answered(self, relay: Relay, member: Member, piece: TrailResponse, asked_ms: float) -> None:
         began = time.process_time()
         relay.answered(member.name, member.name, piece, asked_ms, self.now)
         self.seen.cpu_s += time.process_time() - began
--- a/benchmarks/capacity/signals_down.py
+++ b/benchmarks/capacity/signals_down.py
@@ -12,9 +12,9 @@
 import time
 from dataclasses import dataclass
 
-from birchstack.fleet.settings import Signals
-from birchstack.fleet.signalling import Signalling
-from birchstack.fleet.wire import Piece
+from birchstack.fleet.settings import SignalSettings
+from birchstack.fleet.signalling import SignalParticipant
+from birchstack.fleet.wire import TrailResponse
 from birchstack.interface import SignalKind
 from birchstack.keeper.config import Asks
 from birchstack.keeper.relay import Relay
@@ -49,11 +49,11 @@
         self.now_ms, self.spent, self._down = 0.0, Spent(), down
         self._chance = random.Random(f"signals down {down}")
         self._senders = [
-            Signalling(Signals(), f"{number:016x}", lambda: self.now_ms, self._reported)
+            SignalParticipant(SignalSettings(), f"{number:016x}", lambda: self.now_ms, self._reported)
             for number in range(SENDERS)
         ]
         for each in self._senders:
-            each.begins()
+            each.start()
         self._relays = [Relay(Asks().signal_bytes) for _ in range(KEEPERS)]
 
     def _reported(self, reports: list) -> None:
@@ -74,16 +74,16 @@
         wanted = TRIALS * self._down / SENDERS
         for _ in range(int(wanted) + (self._chance.random() < wanted % 1.0)):
             endpoint = f"s-5be2{first + self._chance.randrange(self._down):05d}"
-            self._chance.choice(self._senders).observed(endpoint, SignalKind.FAILED, 0.0)
+            self._chance.choice(self._senders).record_observation(endpoint, SignalKind.FAILED, 0.0)
 
     def _exchange(self, relay: Relay, number: int) -> None:
         spent, name = self.spent, f"n{number}"
         began = time.process_time()
         question = relay.question(name, self.now_ms) or b""
         asked = time.process_time()
-        signals = self._senders[number].answer(question)
+        signals = self._senders[number].respond(question)
         answered = time.process_time()
-        piece = Piece(
+        piece = TrailResponse(
             name=name, process=f"{number:016x}", boot="", wall_ms=0.0, steady_ms=self.now_ms, signals=signals
         )
         relay.answered(name, name, piece, self.now_ms, self.now_ms)
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -19,7 +19,7 @@
 from birchstack.emulator.rig.processes import shell
 from birchstack.emulator.rig.real import CLIENT_PORT, Rig
 from birchstack.fleet import wire
-from birchstack.fleet.records import START, Acted, Adopted, Life, frame
+from birchstack.fleet.records import INITIAL_CHAIN, ProcessStart, TurnActions, VersionAdopted, encode_frame
 from birchstack.fleet.versions import LIST, Version
 from birchstack.keeper.questions import Stores
 from birchstack.keeper.store import Store
@@ -170,22 +170,22 @@
             changes = {"e1": "leaving"} if number == 40 else {}
             store.publish(Version(LIST, "x", "", number, f"{number:032x}"), "newer", changes, number * 1e4)
         for sender in range(senders):
-            chain, at, frames, number = START, 0.0, [], 0
-            records = [Life("l", f"n{sender}", "b", 0.0, 0.0)]
+            chain, at, frames, number = INITIAL_CHAIN, 0.0, [], 0
+            records = [ProcessStart("l", f"n{sender}", "b", 0.0, 0.0)]
             for turn in range(each):
                 at += 5e5 / each
                 if turn % (each // 50) == 0:
                     many = turn // (each // 50) + 1
                     held = Version(LIST, "x", "", many, f"{many:032x}")
-                    records.append(Adopted(held, "newer", "x", at, at))
-                records.append(Acted(at, (f"doc-{sender}-{turn}", f"e{turn % 20}")))
+                    records.append(VersionAdopted(held, "newer", "x", at, at))
+                records.append(TurnActions(at, (f"doc-{sender}-{turn}", f"e{turn % 20}")))
             for record in records:
                 number += 1
-                data, chain = frame(number, chain, record)
+                data, chain = encode_frame(number, chain, record)
                 frames.append(data)
                 size += len(data)
             for start in range(0, number, 1000):
-                piece = wire.Piece(
+                piece = wire.TrailResponse(
                     name=f"n{sender}",
                     process="p",
                     boot="b",
@@ -224,10 +224,13 @@
                 f"{name}: {many} rows, {statistics.median(times) * 1000.0:.1f} ms (first "
                 f"{times[0] * 1000.0:.1f} ms)"
             )
-    head = Adopted(Version(LIST, "127.0.0.1:8500", "", 41, "0" * 32), "newer", "127.0.0.1:8500", 1e12, 1e6)
+    head = VersionAdopted(
+        Version(LIST, "127.0.0.1:8500", "", 41, "0" * 32), "newer", "127.0.0.1:8500", 1e12, 1e6
+    )
     print(
-        f"an adoption: {len(frame(1, START, head)[0])} bytes; a turn with one call: "
-        f"{len(frame(1, START, Acted(1e6, ('9b1f03aa5c7e2d41', 's-5be2a07c')))[0])} bytes"
+        f"an adoption: {len(encode_frame(1, INITIAL_CHAIN, head)[0])} bytes; a turn with one call: "
+        f"{len(encode_frame(1, INITIAL_CHAIN, TurnActions(1e6, ('9b1f03aa5c7e2d41', 's-5be2a07c')))[0])} "
+        "bytes"
     )
 
 
--- a/benchmarks/signals_days.py
+++ b/benchmarks/signals_days.py
@@ -24,7 +24,7 @@
 from birchstack.emulator.rig.parties import Seen
 from birchstack.emulator.rig.virtual import DELAY_MS, VirtualRig
 from birchstack.emulator.scenario import Cold, Group
-from birchstack.fleet.settings import Signals
+from birchstack.fleet.settings import SignalSettings
 from birchstack.interface import SignalKind
 
 DAY_S, REST_S = 20.0, 12.0
@@ -89,7 +89,7 @@
         chance.choice((1, 2, 2)),
         endpoints=destinations * chance.choice((1, 1, 2)),
         destinations=destinations,
-        signals=None if play == WITHOUT else Signals(),
+        signals=None if play == WITHOUT else SignalSettings(),
         rules=RULES,
     )
     rig.endpoints.chance.seed(seed)
--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -26,7 +26,7 @@
     except ModuleNotFoundError as problem:
         raise ConfigError(f"BALANCER_FLEET: {problem.name} is missing (the extra `fleet`)") from problem
     told = settings.load(path)
-    return settings.room_for(told, config), audit_log.maker(told)
+    return settings.reserve_trail_space(told, config), audit_log.audit_log_factory(told)
 
 
 def _store(config: Config) -> tuple[Config, MakeStore | None]:
--- a/birchstack/emulator/rig/drawn.py
+++ b/birchstack/emulator/rig/drawn.py
@@ -19,7 +19,7 @@
 from birchstack.emulator.rig.parties import Seen
 from birchstack.emulator.rig.virtual import DELAY_MS, VirtualRig
 from birchstack.emulator.virtual import WALL_MS
-from birchstack.fleet.versions import Contents
+from birchstack.fleet.versions import ListContents
 from birchstack.keeper.questions import AskError, Call, Reader, Unknown
 
 DAY_S, REST_S = 7.0, 3.0
@@ -65,7 +65,7 @@
     def __init__(self, rig: VirtualRig) -> None:
         self._rig = rig
         self.held: dict[str, list[tuple[float, str]]] = defaultdict(list)  # since when, digest
-        self._contents: dict[str, Contents] = {}
+        self._contents: dict[str, ListContents] = {}
         self._lying: dict[str, list[dict]] = defaultdict(list)
         rig.on_known = self._known
         for name in rig.senders:
@@ -74,7 +74,7 @@
 
     def _known(self, name: str, known: dict) -> None:
         self._lying.pop(name, None)
-        self._contents[name] = contents = Contents()
+        self._contents[name] = contents = ListContents()
         contents.apply(True, known["targets"])
         self.held[name].append((self._rig.clock.now_ms(), contents.digest()))
 
--- a/birchstack/emulator/rig/virtual.py
+++ b/birchstack/emulator/rig/virtual.py
@@ -146,8 +146,8 @@
         raw["settings"]["rules"] = {**raw["settings"]["rules"], **rig.rules}
         rig.on_known(name, raw["known"])
         told = rig.fleet_file
-        config = fleet_settings.room_for(told, decode(raw, {}))
-        self.node = node = Node(config, self.loop, FleetMachine(rig, self), audit_log.maker(told))
+        config = fleet_settings.reserve_trail_space(told, decode(raw, {}))
+        self.node = node = Node(config, self.loop, FleetMachine(rig, self), audit_log.audit_log_factory(told))
         node.ended.add_done_callback(lambda future: self.over("ended"))
         self.loop.create_task(node.start()).add_done_callback(self._started)
 
@@ -196,7 +196,7 @@
         endpoints: int = 4,
         destinations: int = 2,
         trail_bytes: int = 400_000,
-        signals: fleet_settings.Signals | None = None,
+        signals: fleet_settings.SignalSettings | None = None,
         rules: dict | None = None,
     ) -> None:
         """trail_bytes: may be less than a file could say, so that a short day folds some. signals: the table
@@ -205,7 +205,9 @@
         self.clock = Clock()
         self.network = Network(self.clock, seed, DELAY_MS, DELAY_MS, 0.0)
         self.stage = Stage(self.clock, self.network)
-        self.fleet_file = fleet_settings.Fleet(fleet_settings.Trail(trail_bytes), signals=signals)
+        self.fleet_file = fleet_settings.FleetSettings(
+            fleet_settings.TrailSettings(trail_bytes), signals=signals
+        )
         self.rules = rules or {}
         self.uids = {f"e{at + 1}": at % destinations + 1 for at in range(endpoints)}
         self._places: dict[str, tuple[str, int]] = {}
--- a/birchstack/fleet/audit_files.py
+++ b/birchstack/fleet/audit_files.py
@@ -18,16 +18,16 @@
 from collections.abc import Callable
 
 from birchstack.fleet.records import (
-    Acted,
-    Adopted,
+    CompactedRecords,
     Damage,
-    Folded,
     Gap,
-    Life,
+    ProcessStart,
     Record,
+    TurnActions,
+    VersionAdopted,
     compacted_frame,
-    scan,
-    time_of,
+    record_time_ms,
+    scan_frames,
 )
 from birchstack.fleet.trail import AuditTrail
 from birchstack.net.log import say
@@ -104,8 +104,8 @@
 
     def _restore_compacted(self, trail: AuditTrail, name: str) -> None:
         with contextlib.suppress(OSError):
-            for each in scan(self._folder.read(name)):
-                if not isinstance(each, Damage) and isinstance(record := each.record(), Folded):
+            for each in scan_frames(self._folder.read(name)):
+                if not isinstance(each, Damage) and isinstance(record := each.record(), CompactedRecords):
                     trail.restore_compacted(record)
                     return
         say(log, "compacted audit records unreadable", logging.ERROR, file=name)
@@ -128,7 +128,7 @@
             return
         trail.begin_segment(first)
         corrupted = torn = False
-        for each in scan(data):
+        for each in scan_frames(data):
             if isinstance(each, Damage):
                 corrupted, torn = corrupted or not each.torn, torn or each.torn
                 continue
@@ -138,7 +138,7 @@
                 corrupted = True
                 continue
             if not trail.restore_frame(each):
-                until_ms = time_of(each.record()) or last_ms
+                until_ms = record_time_ms(each.record()) or last_ms
                 missing = each.number - expected
                 self._recovered_gaps.append(
                     Gap(
@@ -168,7 +168,7 @@
         if self._failing_since_ms and not self._try_recovery(now_ms) or not self._store(record):
             self._remember_unwritten(record, now_ms)
             return False
-        if type(record) is Life:
+        if type(record) is ProcessStart:
             known = self.trail.recorded_gaps()  # corruption that was cut out still shows as a jump of numbers
             for gap in self._recovered_gaps:
                 if (gap.from_ms, gap.why) not in known:
@@ -248,14 +248,14 @@
             with contextlib.suppress(OSError):
                 self._folder.unlink(COMPLETE_MARKER)
         self._retry_at_ms = self._retry_at_ms or now_ms + RETRY_DELAY_MS
-        if isinstance(record, Acted):
+        if isinstance(record, TurnActions):
             self._unwritten_calls += len(record.calls) // 2
             return
-        if isinstance(record, Adopted):
+        if isinstance(record, VersionAdopted):
             self._unwritten = [
                 each
                 for each in self._unwritten
-                if not (isinstance(each, Adopted) and each.version.kind == record.version.kind)
+                if not (isinstance(each, VersionAdopted) and each.version.kind == record.version.kind)
             ]
         self._unwritten.append(record)
 
@@ -264,9 +264,9 @@
         if now_ms < self._retry_at_ms:
             return False
         self._retry_at_ms = now_ms + RETRY_DELAY_MS
-        starts = [each for each in self._unwritten if isinstance(each, Life)]
+        starts = [each for each in self._unwritten if isinstance(each, ProcessStart)]
         gap = Gap(self._failing_since_ms, now_ms, "the disk failed", self._unwritten_calls)
-        for each in [*starts, gap, *(each for each in self._unwritten if not isinstance(each, Life))]:
+        for each in [*starts, gap, *(each for each in self._unwritten if not isinstance(each, ProcessStart))]:
             if not self._store(each):
                 return False
         self._unwritten.clear()
--- a/birchstack/fleet/audit_log.py
+++ b/birchstack/fleet/audit_log.py
@@ -18,9 +18,9 @@
 import birchstack
 from birchstack.fleet import wire
 from birchstack.fleet.audit_files import AuditFiles
-from birchstack.fleet.records import FORMAT, Acted, Adopted, Ended, Life
-from birchstack.fleet.settings import Fleet
-from birchstack.fleet.signalling import Signalling
+from birchstack.fleet.records import FORMAT, ProcessEnd, ProcessStart, TurnActions, VersionAdopted
+from birchstack.fleet.settings import FleetSettings
+from birchstack.fleet.signalling import SignalParticipant
 from birchstack.fleet.versions import (
     DECISIONS,
     FIRST,
@@ -29,7 +29,7 @@
     PROGRAM,
     SAME,
     SETTINGS,
-    Contents,
+    ListContents,
     Version,
     compare,
     digest_bytes,
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        settings: Fleet,
+        settings: FleetSettings,
         config: Config,
         machine: Machine,
         folder: Folder,
@@ -82,13 +82,13 @@
         self._boot = machine.boot()
         self._files: AuditFiles | None = None  # None while another process holds the folder
         self._versions: dict[str, Version] = {}
-        self._contents = Contents()
+        self._contents = ListContents()
         self._list_ms = 0.0
-        self._pending_adoptions: dict[str, Adopted] = {}  # adopted before this process held the folder
+        self._pending_adoptions: dict[str, VersionAdopted] = {}  # adopted before this process held the folder
         self._pending_rejections = 0
-        self._signalling: Signalling | None = None  # None if the fleet's settings have no table `signals`
+        self._signalling: SignalParticipant | None = None  # None if signals are not configured
         if settings.signals:
-            self._signalling = Signalling(settings.signals, self._process, machine.steady_ms, reported)
+            self._signalling = SignalParticipant(settings.signals, self._process, machine.steady_ms, reported)
 
     # Called by the sender
 
@@ -97,14 +97,14 @@
         if holds:
             self._files = AuditFiles(self._folder, self._settings.trail.bytes, self._machine.unique)
             now, wall = self._machine.steady_ms(), self._machine.wall_ms()
-            self._files.write(Life(self._process, self._config.name, self._boot, wall, now), now)
+            self._files.write(ProcessStart(self._process, self._config.name, self._boot, wall, now), now)
             for adopted in self._pending_adoptions.values():  # acted on from now on
                 self._files.write(msgspec.structs.replace(adopted, wall_ms=wall, steady_ms=now), now)
             if self._pending_rejections:
-                self._files.write(Acted(now, (), self._pending_rejections), now)
+                self._files.write(TurnActions(now, (), self._pending_rejections), now)
             self._pending_adoptions.clear()
             if self._signalling:
-                self._signalling.begins()
+                self._signalling.start()
         if not self._versions:
             for version in (
                 *program_versions(),
@@ -115,7 +115,7 @@
     def _adopt(self, version: Version, order: str, source: str, taken: bool = True) -> None:
         """Record a received version, and hold it if it is taken."""
         now = self._machine.steady_ms()
-        record = Adopted(version, order, source, self._machine.wall_ms(), now, taken)
+        record = VersionAdopted(version, order, source, self._machine.wall_ms(), now, taken)
         if taken:
             self._versions[version.kind] = version
         if self._files:
@@ -138,7 +138,7 @@
 
     def told(self, received: dict, source: str) -> bool:
         """Record a received list or change before it is acted on. Returns whether it is accepted."""
-        contents = Contents() if received.get("all") else self._contents.copy()
+        contents = ListContents() if received.get("all") else self._contents.copy()
         contents.apply(bool(received.get("all")), received["targets"])
         version = Version(LIST, source, str(received.get("epoch") or ""), received["rev"], contents.digest())
         held = self._versions.get(LIST)
@@ -176,22 +176,24 @@
             self._pending_rejections += len(refused) + len(failed)
             return
         now = self._machine.steady_ms()
-        self._files.write(Acted(now, tuple(chain.from_iterable(calls)), len(refused), tuple(failed)), now)
+        self._files.write(
+            TurnActions(now, tuple(chain.from_iterable(calls)), len(refused), tuple(failed)), now
+        )
 
     def observed(self, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
         """Pass an observation of the decisions on to the other senders, if signals are enabled."""
         if self._signalling:
-            self._signalling.observed(endpoint, kind, wait_ms)
+            self._signalling.record_observation(endpoint, kind, wait_ms)
 
     def linked(self) -> bool | None:
         """Return whether signals of other senders arrive; None if signals are disabled."""
-        return self._signalling.live() if self._signalling else None
+        return self._signalling.is_live() if self._signalling else None
 
     def ended(self) -> None:
         """Record the orderly end of the process."""
         if self._files:
             now = self._machine.steady_ms()
-            self._files.write(Ended(now), now)
+            self._files.write(ProcessEnd(now), now)
             self._files.close()
 
     # Called on the operators' port
@@ -206,7 +208,7 @@
             ("list_age_ms", int(now - self._list_ms) if held else -1),
             ("list_heard_ms", int(self._status().heard_ms)),
             ("trail_failing", int(self._files.failing if self._files else 0)),
-            *(self._signalling.figures() if self._signalling else ()),
+            *(self._signalling.metrics() if self._signalling else ()),
         ]
 
     def _signals(self, status: SenderStatus, body: bytes) -> bytes:
@@ -214,23 +216,23 @@
 
         Until then its decisions do not know the list, and evidence on endpoints not listed would be lost.
         """
-        return self._signalling.answer(body) if self._signalling and status.ready else b""
+        return self._signalling.respond(body) if self._signalling and status.ready else b""
 
     def asked(self, query: dict[str, list[str]], body: bytes) -> Answer:
         """Answer a collector's request for audit records; body: its request for signals, may be empty."""
         try:
             after, most = (
                 int(query[name][0]) if name in query else default
-                for name, default in (("after", 0), ("most", wire.USUAL))
+                for name, default in (("after", 0), ("most", wire.DEFAULT_FRAMES_BYTES))
             )
         except ValueError:
             return Answer(False, "after, most: must be integers")
-        if after < 0 or not 0 <= most <= wire.MOST:
-            return Answer(False, f"after, most: must not be negative, most at most {wire.MOST}")
+        if after < 0 or not 0 <= most <= wire.MAX_FRAMES_BYTES:
+            return Answer(False, f"after, most: must not be negative, most at most {wire.MAX_FRAMES_BYTES}")
         status, files = self._status(), self._files
         if files:
             files.retry(self._machine.steady_ms())
-        piece = wire.Piece(
+        response = wire.TrailResponse(
             name=self._config.name,
             process=self._process,
             boot=self._boot,
@@ -246,7 +248,7 @@
             **(
                 {
                     "trail": files.trail.name,
-                    "life": files.trail.state.life,
+                    "life": files.trail.state.incarnation,
                     "last": files.trail.last,
                     "chain": files.trail.chain,
                     "failing": files.failing,
@@ -256,9 +258,9 @@
                 else {}
             ),
         )
-        return Answer(True, content=wire.encode(piece))
+        return Answer(True, content=wire.encode(response))
 
 
-def maker(settings: Fleet) -> MakeAuditLog:
+def audit_log_factory(settings: FleetSettings) -> MakeAuditLog:
     """Return a factory of audit logs for net.sender.Node."""
     return partial(FleetAuditLog, settings)
--- a/birchstack/fleet/records.py
+++ b/birchstack/fleet/records.py
@@ -33,19 +33,19 @@
 FRAME_MARKER = b"\xce\x5a"
 FRAME_OVERHEAD = HEADER.size + CHECKSUM.size  # bytes of a frame besides its payload
 CHAIN_BYTES = 16
-START = bytes(CHAIN_BYTES)  # the chain before the first frame
+INITIAL_CHAIN = bytes(CHAIN_BYTES)  # the chain before the first frame
 MAX_PAYLOAD_BYTES = 1 << 20  # a frame with a longer payload is invalid
 RECORD_NUMBER = struct.Struct("<Q")
 
 
-class Life(msgspec.Struct, array_like=True, tag="l", frozen=True):
+class ProcessStart(msgspec.Struct, array_like=True, tag="l", frozen=True):
     """A process begins to act from this folder.
 
-    life: identifier of the process run. name: of the sender. boot: identifier of the machine's boot.
+    incarnation: identifier of the process run. name: of the sender. boot: identifier of the machine's boot.
     Times are in milliseconds; steady_ms counts since that boot.
     """
 
-    life: str
+    incarnation: str
     name: str
     boot: str
     wall_ms: float
@@ -53,7 +53,7 @@
     format: int = FORMAT
 
 
-class Adopted(msgspec.Struct, array_like=True, tag="a", frozen=True):
+class VersionAdopted(msgspec.Struct, array_like=True, tag="a", frozen=True):
     """From here on the sender acts on this version.
 
     order: how it compares to the previous one. taken: False if it was received and the sender keeps what it
@@ -68,7 +68,7 @@
     taken: bool = True
 
 
-class Acted(msgspec.Struct, array_like=True, tag="c", frozen=True):
+class TurnActions(msgspec.Struct, array_like=True, tag="c", frozen=True):
     """The actions of one turn.
 
     calls: document and endpoint, alternating, of each call that begins. rejected: number of documents.
@@ -90,7 +90,7 @@
     calls: int = -1
 
 
-class Ended(msgspec.Struct, array_like=True, tag="e", frozen=True):
+class ProcessEnd(msgspec.Struct, array_like=True, tag="e", frozen=True):
     """The process ended in an orderly way and acts no more."""
 
     steady_ms: float
@@ -113,7 +113,7 @@
     """
 
     number: int
-    life: str
+    incarnation: str
     name: str
     boot: str
     versions: dict[str, Version]
@@ -125,14 +125,14 @@
     mixed: bool = False
 
 
-class State(msgspec.Struct, array_like=True, frozen=True):
+class TrailState(msgspec.Struct, array_like=True, frozen=True):
     """What holds at one position of a trail.
 
-    life, name, boot: as in the last start of a process. versions: those acted on, by kind. stretch:
+    incarnation, name, boot: as in the last start of a process. versions: those acted on, by kind. stretch:
     number of the record that began the current stretch.
     """
 
-    life: str = ""
+    incarnation: str = ""
     name: str = ""
     boot: str = ""
     versions: dict[str, Version] = {}
@@ -140,37 +140,37 @@
     from_ms: float = 0.0
 
 
-class Folded(msgspec.Struct, array_like=True, tag="f", frozen=True):
+class CompactedRecords(msgspec.Struct, array_like=True, tag="f", frozen=True):
     """Totals in place of the records first to last, which were compacted to keep the size limit."""
 
     first: int
     last: int
     chain: bytes  # of the record `last`
-    state: State  # after the record `last`
+    state: TrailState  # after the record `last`
     totals: tuple[StretchTotal, ...]
     gaps: tuple[Gap, ...] = ()
 
 
-Record = Life | Adopted | Acted | Gap | Ended | Folded
+Record = ProcessStart | VersionAdopted | TurnActions | Gap | ProcessEnd | CompactedRecords
 _encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Record).decode
 
 
-def after(state: State, number: int, record: Record) -> State:
+def state_after(state: TrailState, number: int, record: Record) -> TrailState:
     """Return the state after the record of that number."""
-    if isinstance(record, Life):  # a new process does not know what the previous one had adopted
-        return State(record.life, record.name, record.boot, {}, number, record.steady_ms)
-    if isinstance(record, Adopted) and record.taken:
+    if isinstance(record, ProcessStart):  # a new process does not know what the previous one had adopted
+        return TrailState(record.incarnation, record.name, record.boot, {}, number, record.steady_ms)
+    if isinstance(record, VersionAdopted) and record.taken:
         versions = {**state.versions, record.version.kind: record.version}
-        return State(state.life, state.name, state.boot, versions, number, record.steady_ms)
-    return record.state if isinstance(record, Folded) else state
+        return TrailState(state.incarnation, state.name, state.boot, versions, number, record.steady_ms)
+    return record.state if isinstance(record, CompactedRecords) else state
 
 
-def time_of(record: Record) -> float | None:
+def record_time_ms(record: Record) -> float | None:
     """Return when the record was written, by the steady clock of its boot; None for compacted records."""
     if isinstance(record, Gap):
         return record.to_ms
-    return None if isinstance(record, Folded) else record.steady_ms
+    return None if isinstance(record, CompactedRecords) else record.steady_ms
 
 
 def chain_hash(previous_chain: bytes, number: int, payload: bytes) -> bytes:
@@ -184,7 +184,7 @@
     return header + CHECKSUM.pack(crc32(payload, crc32(header))) + payload
 
 
-def frame(number: int, previous_chain: bytes, record: Record) -> tuple[bytes, bytes]:
+def encode_frame(number: int, previous_chain: bytes, record: Record) -> tuple[bytes, bytes]:
     """Encode a record. Returns the bytes of its frame and its chain hash."""
     payload = _encode(record)
     chain = blake2b(previous_chain + RECORD_NUMBER.pack(number) + payload, digest_size=CHAIN_BYTES).digest()
@@ -192,7 +192,7 @@
     return header + CHECKSUM.pack(crc32(payload, crc32(header))) + payload, chain
 
 
-def compacted_frame(compacted: Folded) -> bytes:
+def compacted_frame(compacted: CompactedRecords) -> bytes:
     """Encode compacted records, with the number and chain hash of the last one so that the next follows."""
     return _assemble_frame(compacted.last, compacted.chain, _encode(compacted))
 
@@ -210,7 +210,7 @@
         """Return whether the frame continues the chain."""
         return chain_hash(previous_chain, self.number, self.payload) == self.chain
 
-    def bytes(self) -> bytes:
+    def stored_bytes(self) -> bytes:
         """Return the frame as it was stored."""
         return _assemble_frame(self.number, self.chain, self.payload)
 
@@ -241,7 +241,7 @@
     return Frame(number, chain, payload, offset, FRAME_OVERHEAD + length)
 
 
-def scan(data: bytes) -> Iterator[Frame | Damage]:
+def scan_frames(data: bytes) -> Iterator[Frame | Damage]:
     """Yield every frame and every damaged range of the bytes, in order."""
     offset = damage_start = 0
     while offset < len(data):
--- a/birchstack/fleet/settings.py
+++ b/birchstack/fleet/settings.py
@@ -19,19 +19,19 @@
 BLOCK_OVERHEAD_BYTES = 32 * 512  # allowance for files that occupy whole blocks
 
 
-class Trail(Struct, frozen=True, forbid_unknown_fields=True):
+class TrailSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Table `trail`. bytes: size limit of the audit trail on disk, and also in memory."""
 
     bytes: Annotated[int, Meta(ge=65536, le=1 << 30)] = 1_000_000
 
 
-class List(Struct, frozen=True, forbid_unknown_fields=True):
+class ListSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Table `list`. back: the policy for an older or forked list (docs/notes/fleet.md)."""
 
     back: RegressionPolicy = TAKE
 
 
-class Signals(Struct, frozen=True, forbid_unknown_fields=True):
+class SignalSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """Table `signals`.
 
     bytes: size limit of the signals in one response to a collector. quiet_s: after this many seconds without
@@ -42,15 +42,15 @@
     quiet_s: Annotated[float, Meta(ge=0.1, le=60.0)] = 3.5
 
 
-class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
+class FleetSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """The whole file. signals: None if the file has no such table; the sender then exchanges no signals."""
 
-    trail: Trail = Trail()
-    list: List = List()
-    signals: Signals | None = None
+    trail: TrailSettings = TrailSettings()
+    list: ListSettings = ListSettings()
+    signals: SignalSettings | None = None
 
 
-def load(path: str) -> Fleet:
+def load(path: str) -> FleetSettings:
     """Read the settings file. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
@@ -59,15 +59,15 @@
         raise ConfigError(f"BALANCER_FLEET: {problem}") from problem
 
 
-def decode(text: bytes, path: str) -> Fleet:
+def decode(text: bytes, path: str) -> FleetSettings:
     """Decode the contents of a settings file; path is for the error message. Raises ConfigError."""
     try:
-        return msgspec.toml.decode(text, type=Fleet)
+        return msgspec.toml.decode(text, type=FleetSettings)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
         raise ConfigError(f"BALANCER_FLEET: {path}: {problem}") from problem
 
 
-def room_for(settings: Fleet, config: Config) -> Config:
+def reserve_trail_space(settings: FleetSettings, config: Config) -> Config:
     """Return the configuration with the audit trail's space taken from the folder's disk limit.
 
     Raises ConfigError if too little space remains for documents, or if no operators' port is configured.
--- a/birchstack/fleet/signalling.py
+++ b/birchstack/fleet/signalling.py
@@ -9,14 +9,14 @@
 
 from collections.abc import Callable
 
-from birchstack.fleet.settings import Signals
+from birchstack.fleet.settings import SignalSettings
 from birchstack.interface import Report, SignalKind
 from birchstack.signals import model
 from birchstack.signals.echo import transit_delay_ms
 from birchstack.signals.outbox import Outbox
 
 
-class Signalling:
+class SignalParticipant:
     """Signal exchange of one process.
 
     incarnation: identifier of the process. steady_ms: its steady clock. reported: receives the reports of
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        settings: Signals,
+        settings: SignalSettings,
         incarnation: str,
         steady_ms: Callable[[], float],
         reported: Callable[[list[Report]], None],
@@ -40,21 +40,21 @@
         self._report_count = 0
         self._rejected_count = 0
 
-    def begins(self) -> None:
+    def start(self) -> None:
         """Start recording observations: this process is active from now on."""
         self._outbox = Outbox(self._incarnation, self._steady_ms())
 
-    def live(self) -> bool:
+    def is_live(self) -> bool:
         """Return whether a collector's request was accepted within the configured time."""
         return self._steady_ms() - self._last_request_ms <= self._settings.quiet_s * 1000.0
 
-    def observed(self, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
+    def record_observation(self, endpoint: str, kind: SignalKind, wait_ms: float) -> None:
         """Record an observation made by the decisions."""
         if self._outbox:
             self._observation_count += 1
             self._outbox.record(self._steady_ms(), endpoint, kind, wait_ms)
 
-    def answer(self, body: bytes) -> bytes:
+    def respond(self, body: bytes) -> bytes:
         """Answer a collector with this sender's signals; empty while this process is not active.
 
         body: the collector's request, empty if it has not met this process. A request that cannot be decoded
@@ -68,7 +68,7 @@
             return model.encode(self._outbox.empty_batch(now_ms))
         return model.encode(self._outbox.batch(now_ms, acknowledged, self._settings.bytes))
 
-    def _accept(self, body: bytes, now_ms: float) -> model.Sequences | None:
+    def _accept(self, body: bytes, now_ms: float) -> model.Cursor | None:
         """Pass on the evidence of a request.
 
         Returns the cursor of what the collector has from this process; None if the request is rejected.
@@ -88,10 +88,10 @@
             self._reported([each.report(delay) for each in request.evidence])
         return request.acknowledged
 
-    def figures(self) -> list[tuple[str, object]]:
+    def metrics(self) -> list[tuple[str, object]]:
         """Return names and values for the metrics endpoint."""
         return [
-            ("signals_live", int(self.live())),
+            ("signals_live", int(self.is_live())),
             ("signals_noted", self._observation_count),
             ("signals_reports", self._report_count),
             ("signals_refused", self._rejected_count),
--- a/birchstack/fleet/trail.py
+++ b/birchstack/fleet/trail.py
@@ -15,21 +15,21 @@
 
 from birchstack.fleet.records import (
     FRAME_OVERHEAD,
-    START,
-    Acted,
-    Adopted,
+    INITIAL_CHAIN,
+    CompactedRecords,
     EndpointTally,
-    Folded,
     Frame,
     Gap,
     Record,
-    State,
     StretchTotal,
-    after,
+    TrailState,
+    TurnActions,
+    VersionAdopted,
     compacted_frame,
     decode,
-    frame,
-    time_of,
+    encode_frame,
+    record_time_ms,
+    state_after,
 )
 
 SEGMENTS = 8  # segments within the size limit, the space of one being reserved for the compacted records
@@ -44,7 +44,7 @@
 
     __slots__ = ("number", "state", "tallies", "from_ms", "to_ms", "rejected", "abandoned", "mixed")
 
-    def __init__(self, number: int, state: State, from_ms: float) -> None:
+    def __init__(self, number: int, state: TrailState, from_ms: float) -> None:
         self.number = number
         self.state = state
         self.from_ms = from_ms
@@ -57,7 +57,9 @@
     @staticmethod
     def from_total(total: StretchTotal) -> StretchAccumulator:
         """Continue from a stored total."""
-        state = State(total.life, total.name, total.boot, total.versions, total.number, total.from_ms)
+        state = TrailState(
+            total.incarnation, total.name, total.boot, total.versions, total.number, total.from_ms
+        )
         accumulator = StretchAccumulator(total.number, state, total.from_ms)
         accumulator.to_ms = total.to_ms
         accumulator.rejected = total.rejected
@@ -68,7 +70,7 @@
         accumulator.mixed = total.mixed
         return accumulator
 
-    def add_turn(self, record: Acted) -> None:
+    def add_turn(self, record: TurnActions) -> None:
         """Add the actions of one turn."""
         now = self.to_ms = record.steady_ms
         for endpoint in record.calls[1::2]:
@@ -102,8 +104,8 @@
         versions = {
             kind: version for kind, version in first.versions.items() if second.versions.get(kind) == version
         }
-        self.state = State(
-            first.life if first.life == second.life else "",
+        self.state = TrailState(
+            first.incarnation if first.incarnation == second.incarnation else "",
             first.name if first.name == second.name else "",
             first.boot if first.boot == second.boot else "",
             versions,
@@ -118,7 +120,7 @@
         tallies = tuple(EndpointTally(name, *values) for name, values in self.tallies.items())
         return StretchTotal(
             self.number,
-            state.life,
+            state.incarnation,
             state.name,
             state.boot,
             state.versions,
@@ -139,11 +141,11 @@
 
     __slots__ = ("first", "state_before", "state", "chain", "data", "numbers", "offsets", "gaps")
 
-    def __init__(self, first: int, state: State) -> None:
+    def __init__(self, first: int, state: TrailState) -> None:
         self.first = first  # number of its first record
         self.state_before = state  # before its first record
         self.state = state  # after its last record
-        self.chain = START  # of its last record
+        self.chain = INITIAL_CHAIN  # of its last record
         self.data = bytearray()
         self.numbers = array("Q")
         self.offsets = array("L")
@@ -155,8 +157,8 @@
         self.offsets.append(len(self.data))
         self.data += data
         self.chain = chain
-        if type(record) is not Acted:
-            self.state = after(self.state, number, record)
+        if type(record) is not TurnActions:
+            self.state = state_after(self.state, number, record)
             if isinstance(record, Gap):
                 self.gaps.append(record)
 
@@ -166,14 +168,14 @@
         state = self.state_before
         for number, payload in self._payloads():
             record = decode(payload)
-            if type(record) is Acted:
+            if type(record) is TurnActions:
                 if not found:
                     found.append(StretchAccumulator(state.stretch, state, record.steady_ms))
                 found[-1].add_turn(record)
                 continue
-            next_state = after(state, number, record)
+            next_state = state_after(state, number, record)
             if next_state.stretch != state.stretch:
-                if found and isinstance(record, Adopted):
+                if found and isinstance(record, VersionAdopted):
                     found[-1].to_ms = next_state.from_ms  # a stretch lasts until the next one begins
                 found.append(StretchAccumulator(next_state.stretch, next_state, next_state.from_ms))
             state = next_state
@@ -197,7 +199,7 @@
         return bytes(self.data[begin : self.offsets[end] if end < len(self.offsets) else len(self.data)])
 
 
-def compact(compacted: Folded | None, segment: Segment) -> Folded:
+def compact(compacted: CompactedRecords | None, segment: Segment) -> CompactedRecords:
     """Return the totals of a segment added to what was compacted before."""
     totals = [StretchAccumulator.from_total(each) for each in compacted.totals] if compacted else []
     gaps = [*(compacted.gaps if compacted else ()), *segment.gaps]
@@ -211,7 +213,7 @@
     while len(gaps) > MAX_GAPS:
         calls = -1 if -1 in (gaps[0].calls, gaps[1].calls) else gaps[0].calls + gaps[1].calls
         gaps[:2] = [Gap(gaps[0].from_ms, gaps[1].to_ms, "several gaps", calls)]
-    return Folded(
+    return CompactedRecords(
         compacted.first if compacted else segment.first,
         segment.numbers[-1],
         segment.chain,
@@ -232,16 +234,16 @@
         self.name = name
         self._limit = limit
         self.last = 0
-        self.chain = START
-        self.state = State()
+        self.chain = INITIAL_CHAIN
+        self.state = TrailState()
         self.last_ms = 0.0  # time of the last record, by the steady clock of its boot
-        self.compacted: Folded | None = None
+        self.compacted: CompactedRecords | None = None
         self._compacted_frame = b""
         self.segments: deque[Segment] = deque()
 
     # Restoring what was stored
 
-    def restore_compacted(self, compacted: Folded) -> None:
+    def restore_compacted(self, compacted: CompactedRecords) -> None:
         """Restore the compacted records, before any segment."""
         self.compacted, self._compacted_frame = compacted, compacted_frame(compacted)
         self.last, self.chain, self.state = compacted.last, compacted.chain, compacted.state
@@ -256,9 +258,9 @@
         if not self.segments:
             self.begin_segment(stored.number)
         record = stored.record()
-        self.segments[-1].append(stored.number, stored.bytes(), stored.chain, record)
+        self.segments[-1].append(stored.number, stored.stored_bytes(), stored.chain, record)
         self.last, self.chain, self.state = stored.number, stored.chain, self.segments[-1].state
-        self.last_ms = time_of(record) or self.last_ms
+        self.last_ms = record_time_ms(record) or self.last_ms
         return intact
 
     # Appending
@@ -278,7 +280,7 @@
 
         The trail changes only with append(), once the frame is stored.
         """
-        return frame(self.last + 1, self.chain, record)
+        return encode_frame(self.last + 1, self.chain, record)
 
     def append(self, record: Record, data: bytes, chain: bytes) -> None:
         """Append a record whose frame is stored."""
@@ -286,10 +288,10 @@
         segment = self.segments[-1]
         segment.append(self.last, data, chain, record)
         self.state = segment.state
-        if type(record) is Acted:
+        if type(record) is TurnActions:
             self.last_ms = record.steady_ms
         else:
-            self.last_ms = time_of(record) or self.last_ms
+            self.last_ms = record_time_ms(record) or self.last_ms
 
     def needs_compaction(self) -> bool:
         """Return whether the oldest segment must be compacted: too many bytes, or too many small segments."""
@@ -298,11 +300,11 @@
             size > self._limit - self.segment_bytes or len(self.segments) > 2 * SEGMENTS
         )
 
-    def compact_oldest(self) -> Folded:
+    def compact_oldest(self) -> CompactedRecords:
         """Return the oldest segment added to the compacted records; takes effect with apply_compaction()."""
         return compact(self.compacted, self.segments[0])
 
-    def apply_compaction(self, compacted: Folded) -> Segment:
+    def apply_compaction(self, compacted: CompactedRecords) -> Segment:
         """Replace the oldest segment by compacted records that are stored. Returns the removed segment."""
         self.compacted, self._compacted_frame = compacted, compacted_frame(compacted)
         return self.segments.popleft()
--- a/birchstack/fleet/versions.py
+++ b/birchstack/fleet/versions.py
@@ -113,7 +113,7 @@
     return digest_bytes(json.dumps(value, sort_keys=True, separators=(",", ":")).encode())
 
 
-class Contents:
+class ListContents:
     """The contents of an endpoint list, updated by whole lists and by changes, and their digest.
 
     The digest is a sum over the entries (each hashed by itself, added modulo 2^128), so that the cost of an
@@ -130,9 +130,9 @@
         self._entry_hashes: dict[str, int] = {}
         self._hash_sum = 0
 
-    def copy(self) -> Contents:
+    def copy(self) -> ListContents:
         """Return an independent copy."""
-        duplicate = Contents()
+        duplicate = ListContents()
         duplicate.states = dict(self.states)
         duplicate._entry_hashes = dict(self._entry_hashes)
         duplicate._hash_sum = self._hash_sum
--- a/birchstack/fleet/wire.py
+++ b/birchstack/fleet/wire.py
@@ -11,11 +11,11 @@
 from birchstack.fleet.versions import Version
 
 PATH = "/fleet/trail"
-MOST = 256 << 10  # largest size of the frames in one response, in bytes
-USUAL = 64 << 10  # size of the frames in one response if the request names none, in bytes
+MAX_FRAMES_BYTES = 256 << 10  # largest size of the frames in one response, in bytes
+DEFAULT_FRAMES_BYTES = 64 << 10  # size of the frames in one response if the request names none, in bytes
 
 
-class Piece(msgspec.Struct, frozen=True, kw_only=True):
+class TrailResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Frames after the requested record number, and the state of the process as it responds.
 
     Times are in milliseconds. process: random identifier drawn by each process at its start. life: the
@@ -44,9 +44,9 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Piece).decode
+decode = msgspec.msgpack.Decoder(TrailResponse).decode
 
 
-def target(after: int, most: int = USUAL) -> str:
+def request_target(after: int, most: int = DEFAULT_FRAMES_BYTES) -> str:
     """Return the request target for the frames after a record number."""
     return f"{PATH}?after={after}&most={most}"
--- a/birchstack/keeper/asking.py
+++ b/birchstack/keeper/asking.py
@@ -14,7 +14,7 @@
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
 
-BODY = 2 * wire.MOST
+BODY = 2 * wire.MAX_FRAMES_BYTES
 
 
 class Ask:
@@ -28,7 +28,7 @@
         after: int,
         question: bytes | None,
         timeout_s: float,
-        told: Callable[[wire.Piece | None, float, str], None],
+        told: Callable[[wire.TrailResponse | None, float, str], None],
     ) -> None:
         self._loop, self._where, self._after, self._told = loop, where, after, told
         self._question = question
@@ -42,7 +42,7 @@
         self._link, self._sent_at = link, self._loop.time()
         method = "GET" if self._question is None else "POST"
         host = "{}:{}".format(*self._where)
-        link.write(http1.request(method, wire.target(self._after), host, body=self._question or b""))
+        link.write(http1.request(method, wire.request_target(self._after), host, body=self._question or b""))
 
     def received(self, data: memoryview) -> None:
         try:
@@ -63,7 +63,7 @@
     def lost(self) -> None:
         self._end(None, "the connection broke")
 
-    def _end(self, piece: wire.Piece | None, problem: str) -> None:
+    def _end(self, piece: wire.TrailResponse | None, problem: str) -> None:
         if self._over:
             return
         self._over = True
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from birchstack.fleet import lag, wire
-from birchstack.fleet.versions import FIRST, LIST, SAME, Contents, Version, compare
+from birchstack.fleet.versions import FIRST, LIST, SAME, ListContents, Version, compare
 from birchstack.keeper.asking import Ask
 from birchstack.keeper.collect import Rounds
 from birchstack.keeper.config import Keeper
@@ -59,8 +59,8 @@
         self._watch: Watch | None = None
         self._held: Version | None = None  # the version stored last, and its endpoints
         self._states: dict[str, str] = {}
-        self._contents = Contents()
-        self._turns, self._verdicts = lag.Turns(), {}
+        self._contents = ListContents()
+        self._turns, self._verdicts = lag.FlapHistory(), {}
         self._began_ms = clock.ms()
         self.ended = loop.create_future()
 
@@ -117,7 +117,7 @@
             self._timer.cancel()
         self._timer = self._loop.call_later(max(0.001, due - now), self._go)
 
-    def _answered(self, at: str, piece: wire.Piece | None, sent_at: float, problem: str) -> None:
+    def _answered(self, at: str, piece: wire.TrailResponse | None, sent_at: float, problem: str) -> None:
         self._out.pop(at, None)
         now = self._loop.time()
         if piece is not None and piece.name != self._doors.get(at):
@@ -175,27 +175,29 @@
             return
         self._loop.call_later(JUDGE_S, self._judge)
         now = self._clock.ms()
-        bounds = lag.Bounds(
-            self._told.lists.behind_s * 1000.0 if self._told.lists else lag.Bounds.behind_ms,
+        bounds = lag.LagThresholds(
+            self._told.lists.behind_s * 1000.0 if self._told.lists else lag.LagThresholds.behind_ms,
             self._told.asks.silent_s * 1000.0,
         )
         if now - self._began_ms < bounds.silent_ms:
             return  # nobody had time to be silent yet
         heard = now - self._watch.silent_ms() if self._watch else None
         versions = tuple((Version(LIST, *words), at) for *words, at in self._store.given())
-        view = lag.judge(self._sightings(), lag.Given(versions, heard), now, bounds, self._turns)
+        view = lag.judge(self._sightings(), lag.PublishedLists(versions, heard), now, bounds, self._turns)
         told = {"": (view.fleet, view.evidence, 0.0)}
         told.update((each.sender, (each.what, each.evidence, each.since_ms)) for each in view.verdicts)
         for sender, (what, evidence, since) in told.items():
-            if self._verdicts.get(sender, lag.WELL) != what:
+            if self._verdicts.get(sender, lag.HEALTHY) != what:
                 self._store.judged(sender, what, evidence, since, now)
                 say(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
                 self._soon()
             self._verdicts[sender] = what
 
-    def _sightings(self) -> list[lag.Sighting]:
+    def _sightings(self) -> list[lag.SenderSnapshot]:
         """Each sender by the door that answered last and acts, of those that the file names."""
-        best: dict[str, lag.Sighting] = {name: lag.Sighting(name, None) for name in self._doors.values()}
+        best: dict[str, lag.SenderSnapshot] = {
+            name: lag.SenderSnapshot(name, None) for name in self._doors.values()
+        }
         for at, _, answered, kept in self._store.doors():
             name = self._doors.get(at)
             if name is None or answered is None or kept is None:
@@ -203,7 +205,7 @@
             piece = wire.decode(kept)
             had = best[name].answered_ms
             if piece.holds and (had is None or answered > had):
-                best[name] = lag.Sighting(name, answered, piece.versions.get(LIST), piece.heard_ms)
+                best[name] = lag.SenderSnapshot(name, answered, piece.versions.get(LIST), piece.heard_ms)
         return [*best.values()]
 
     # The list
--- a/birchstack/keeper/questions.py
+++ b/birchstack/keeper/questions.py
@@ -428,7 +428,7 @@
     def stragglers(self) -> list[Verdict]:
         """Those that do not stand well now; the fleet as a whole first, if it does not."""
         last = {each.sender: each for each in self.verdicts()}
-        return sorted(each for each in last.values() if each.what != lag.WELL)
+        return sorted(each for each in last.values() if each.what != lag.HEALTHY)
 
     def timeline(self, from_ms: float = 0.0, to_ms: float | None = None) -> list[TimelineEvent]:
         found = [
--- a/birchstack/keeper/relay.py
+++ b/birchstack/keeper/relay.py
@@ -12,9 +12,9 @@
 from birchstack.fleet import wire
 from birchstack.net.log import say
 from birchstack.signals import model
-from birchstack.signals.board import START, Board
-from birchstack.signals.echo import MOST_DELAY_MS
-from birchstack.signals.model import Question, Sequences, SignalBatch
+from birchstack.signals.board import START_CURSOR, SignalTable
+from birchstack.signals.echo import MAX_TRANSIT_DELAY_MS
+from birchstack.signals.model import Cursor, SignalBatch, SignalRequest
 
 log = logging.getLogger(__name__)
 
@@ -26,9 +26,9 @@
     life: str
     clock_ms: float = 0.0
     came_ms: float = 0.0
-    taken: Sequences = START
-    told: Sequences = START
-    asked: Sequences = START
+    taken: Cursor = START_CURSOR
+    told: Cursor = START_CURSOR
+    asked: Cursor = START_CURSOR
 
 
 class Relay:
@@ -36,7 +36,7 @@
 
     def __init__(self, room: int) -> None:
         self._room = room
-        self.board = Board()
+        self.board = SignalTable()
         self._readers: dict[str, Reader] = {}
         self.counts = {"signals": 0, "signals_refused": 0}
 
@@ -45,14 +45,21 @@
         reader = self._readers.get(door)
         if reader is None:
             return None
-        evidence, reader.asked = self.board.news(reader.told, now_ms, self._room)
+        evidence, reader.asked = self.board.changes_since(reader.told, now_ms, self._room)
         return model.encode(
-            Question(
-                model.VERSION, reader.taken, reader.life, reader.clock_ms, now_ms - reader.came_ms, evidence
+            SignalRequest(
+                model.PROTOCOL_VERSION,
+                reader.taken,
+                reader.life,
+                reader.clock_ms,
+                now_ms - reader.came_ms,
+                evidence,
             )
         )
 
-    def answered(self, door: str, sender: str, piece: wire.Piece, asked_ms: float, now_ms: float) -> None:
+    def answered(
+        self, door: str, sender: str, piece: wire.TrailResponse, asked_ms: float, now_ms: float
+    ) -> None:
         """sender: whom the door belongs to. What was long on its way, or not readable, is asked for again."""
         if piece.name != sender or not piece.signals:
             self._readers.pop(door, None)
@@ -61,7 +68,7 @@
         if reader is None or reader.life != piece.process:
             reader = self._readers[door] = Reader(piece.process)
         reader.clock_ms, reader.came_ms = piece.steady_ms, now_ms
-        if now_ms - asked_ms > MOST_DELAY_MS:
+        if now_ms - asked_ms > MAX_TRANSIT_DELAY_MS:
             return
         try:
             batch = model.decode_batch(piece.signals)
@@ -70,13 +77,13 @@
             if self.counts["signals_refused"] == 1:
                 say(log, "signals not readable", logging.WARNING, sender=sender, problem=problem)
             return
-        if batch.heard:
+        if batch.request_accepted:
             reader.told = reader.asked
         self.counts["signals"] += self.board.merge(sender, batch, now_ms)
         reader.taken = _taken(reader.taken, batch)
 
 
-def _taken(before: Sequences, batch: SignalBatch) -> Sequences:
+def _taken(before: Cursor, batch: SignalBatch) -> Cursor:
     """The last sequence of each kind that was had."""
     last = [*before]
     for signal in batch.signals:
--- a/birchstack/keeper/store.py
+++ b/birchstack/keeper/store.py
@@ -12,19 +12,19 @@
 
 from birchstack.fleet import wire
 from birchstack.fleet.records import (
-    START,
-    Acted,
-    Adopted,
-    Ended,
-    Folded,
+    INITIAL_CHAIN,
+    CompactedRecords,
     Frame,
     Gap,
-    Life,
+    ProcessEnd,
+    ProcessStart,
     Record,
-    State,
-    after,
-    scan,
-    time_of,
+    TrailState,
+    TurnActions,
+    VersionAdopted,
+    record_time_ms,
+    scan_frames,
+    state_after,
 )
 from birchstack.fleet.versions import FORKED, LIST, OLDER
 from birchstack.keeper.tables import Tables
@@ -37,14 +37,20 @@
     trail: int = 0  # the branch
     name: str = ""  # of the trail
     next: int = 1
-    chain: bytes = START
-    state: State = field(default_factory=State)
+    chain: bytes = INITIAL_CHAIN
+    state: TrailState = field(default_factory=TrailState)
     last_ms: float = 0.0
     looking: bool = False  # reading from the start, for where a trail forked
     lost: tuple[str, float] | None = None  # a sender, and since when nothing is known of a folder it lost
 
     def begin(self, looking: bool) -> None:
-        self.next, self.chain, self.state, self.last_ms, self.looking = 1, START, State(), 0.0, looking
+        self.next, self.chain, self.state, self.last_ms, self.looking = (
+            1,
+            INITIAL_CHAIN,
+            TrailState(),
+            0.0,
+            looking,
+        )
 
 
 class Store(Tables):
@@ -97,7 +103,7 @@
             if row and row[0]:
                 name = self.db.execute("SELECT name FROM trail WHERE id=?", (row[0],)).fetchone()[0]
                 self.places[at] = Place(
-                    row[0], name, row[1], row[2], msgspec.msgpack.decode(row[3], type=State), row[4]
+                    row[0], name, row[1], row[2], msgspec.msgpack.decode(row[3], type=TrailState), row[4]
                 )
             else:
                 self._begin()
@@ -109,7 +115,7 @@
         """The number after which this door is asked."""
         return self.place(at).next - 1
 
-    def take(self, at: str, piece: wire.Piece, now_ms: float, error_ms: float) -> bool:
+    def take(self, at: str, piece: wire.TrailResponse, now_ms: float, error_ms: float) -> bool:
         """What a door answered; now_ms: the keeper's time at which the sender spoke, good to error_ms.
         True: there is more to ask for at once."""
         place = self.place(at)
@@ -129,7 +135,7 @@
             self._look(place, piece, now_ms)
             return True
         before: Frame | None = None
-        for each in scan(piece.frames):
+        for each in scan_frames(piece.frames):
             if not isinstance(each, Frame):
                 self.found("answer spoilt", piece.name, f"{at}: bytes that are no record", now_ms)
                 break
@@ -143,7 +149,7 @@
         self._door(at, piece, now_ms, piece.steady_ms if done and not piece.failing else None)
         return not done
 
-    def _clock(self, piece: wire.Piece, now_ms: float, error_ms: float) -> None:
+    def _clock(self, piece: wire.TrailResponse, now_ms: float, error_ms: float) -> None:
         had = self._clocks.get(piece.boot)
         if had is None:
             row = self.db.execute(
@@ -157,7 +163,7 @@
                 (piece.boot, now_ms - piece.steady_ms, error_ms),
             )
 
-    def _door(self, at: str, piece: wire.Piece, now_ms: float, complete_ms: float | None) -> None:
+    def _door(self, at: str, piece: wire.TrailResponse, now_ms: float, complete_ms: float | None) -> None:
         kept = wire.encode(msgspec.structs.replace(piece, frames=b""))
         self.db.execute(
             "UPDATE door SET sender=?, process=?, boot=?, answered_ms=?, piece=?, "
@@ -165,7 +171,7 @@
             (piece.name, piece.process, piece.boot, now_ms, kept, complete_ms, at),
         )
 
-    def _other_trail(self, place: Place, piece: wire.Piece, now_ms: float) -> None:
+    def _other_trail(self, place: Place, piece: wire.TrailResponse, now_ms: float) -> None:
         """This door keeps another trail than before: a new folder, or another sender's."""
         mine = [
             name
@@ -192,7 +198,7 @@
         place.trail, place.name = known, piece.trail
         place.begin(looking=False)
 
-    def _look(self, place: Place, piece: wire.Piece, now_ms: float) -> None:
+    def _look(self, place: Place, piece: wire.TrailResponse, now_ms: float) -> None:
         """The trail does not go on from what was taken: read from its start, to find where it forked."""
         if piece.last < place.next - 1:
             self.found(
@@ -207,7 +213,7 @@
     # Records
 
     def _take(
-        self, place: Place, frame: Frame, before: Frame | None, piece: wire.Piece, now_ms: float
+        self, place: Place, frame: Frame, before: Frame | None, piece: wire.TrailResponse, now_ms: float
     ) -> bool:
         """One frame; False: read from the start instead."""
         number = frame.number
@@ -220,7 +226,7 @@
                 "record not readable", piece.name, f"trail {place.name} record {number}: {problem}", now_ms
             )
             record = Gap(place.last_ms, place.last_ms, "a record of a form this keeper does not read")
-        if isinstance(record, Folded):
+        if isinstance(record, CompactedRecords):
             self._folded(place, record)
             return True
         if number > place.next:
@@ -228,7 +234,7 @@
                 place,
                 Gap(
                     place.last_ms,
-                    time_of(record) or place.last_ms,
+                    record_time_ms(record) or place.last_ms,
                     f"records {place.next} to {number - 1} are not there",
                 ),
                 now_ms,
@@ -245,12 +251,12 @@
             )
         if not self._have(place, frame, piece, now_ms):
             self._keep(place, frame, record, now_ms)
-        place.state = after(place.state, number, record)
+        place.state = state_after(place.state, number, record)
         place.next, place.chain = number + 1, frame.chain
-        place.last_ms = time_of(record) or place.last_ms
+        place.last_ms = record_time_ms(record) or place.last_ms
         return True
 
-    def _have(self, place: Place, frame: Frame, piece: wire.Piece, now_ms: float) -> bool:
+    def _have(self, place: Place, frame: Frame, piece: wire.TrailResponse, now_ms: float) -> bool:
         """True if this record was taken before, from whichever door. Another record under its number is a
         fork: what comes now is kept as a branch of its own."""
         if frame.number > self._tip(place.name):
@@ -304,28 +310,29 @@
         trail, number, state = place.trail, frame.number, place.state
         self._records.append((trail, number, frame.chain))
         self._tips[place.name] = max(self._tip(place.name), number)
-        if isinstance(record, Acted):
+        if isinstance(record, TurnActions):
             self._acted(self._stretch(trail, state), record)
-        elif isinstance(record, Adopted):
+        elif isinstance(record, VersionAdopted):
             self._adopted(place, number, record, now_ms)
-        elif isinstance(record, Life):
+        elif isinstance(record, ProcessStart):
             self._lived(place, number, record, now_ms)
-        elif isinstance(record, Ended):
+        elif isinstance(record, ProcessEnd):
             self._close(trail, state, record.steady_ms)
             self.db.execute(
-                "UPDATE life SET ended_ms=? WHERE trail=? AND life=?", (record.steady_ms, trail, state.life)
+                "UPDATE life SET ended_ms=? WHERE trail=? AND life=?",
+                (record.steady_ms, trail, state.incarnation),
             )
         elif isinstance(record, Gap):
             self._gap(place, record, now_ms)
 
-    def _stretch(self, trail: int, state: State) -> int:
+    def _stretch(self, trail: int, state: TrailState) -> int:
         key = trail, state.stretch
         if key not in self._stretches:
             row = self.db.execute("SELECT id FROM stretch WHERE trail=? AND number=?", key).fetchone()
             self._stretches[key] = row[0] if row else self._new_stretch(trail, state)
         return self._stretches[key]
 
-    def _new_stretch(self, trail: int, state: State) -> int:
+    def _new_stretch(self, trail: int, state: TrailState) -> int:
         held = state.versions.get(LIST)
         return self.db.execute(
             "INSERT INTO stretch(trail, number, sender, life, boot, epoch, list, digest, versions, from_ms, "
@@ -334,7 +341,7 @@
                 trail,
                 state.stretch,
                 state.name,
-                state.life,
+                state.incarnation,
                 state.boot,
                 held.epoch if held else None,
                 held.number if held else None,
@@ -345,7 +352,7 @@
             ),
         ).lastrowid
 
-    def _acted(self, stretch: int, record: Acted) -> None:
+    def _acted(self, stretch: int, record: TurnActions) -> None:
         now, calls = record.steady_ms, record.calls
         for doc, endpoint in zip(calls[::2], calls[1::2], strict=True):
             self._calls.append((doc, stretch, endpoint, now))
@@ -361,20 +368,28 @@
         sums[2] += len(record.abandoned)
         sums[3] = max(sums[3], now)
 
-    def _close(self, trail: int, state: State, now: float) -> None:
+    def _close(self, trail: int, state: TrailState, now: float) -> None:
         """A stretch lasts until its process adopts something else, or ends."""
         if state.stretch:
             self._sums.setdefault(self._stretch(trail, state), [0, 0, 0, now])[3] = now
 
-    def _lived(self, place: Place, number: int, record: Life, now_ms: float) -> None:
+    def _lived(self, place: Place, number: int, record: ProcessStart, now_ms: float) -> None:
         self.db.execute(
             "INSERT OR IGNORE INTO life VALUES(?, ?, ?, ?, ?, ?, ?, NULL)",
-            (place.trail, number, record.life, record.name, record.boot, record.wall_ms, record.steady_ms),
+            (
+                place.trail,
+                number,
+                record.incarnation,
+                record.name,
+                record.boot,
+                record.wall_ms,
+                record.steady_ms,
+            ),
         )
-        self._stretch(place.trail, after(place.state, number, record))
+        self._stretch(place.trail, state_after(place.state, number, record))
         if place.lost and place.lost[0] == record.name:
             (_, since), place.lost = place.lost, None
-            held = Place(place.trail, place.name, state=after(place.state, number, record))
+            held = Place(place.trail, place.name, state=state_after(place.state, number, record))
             self._gap(held, Gap(since, record.steady_ms, "the folder was lost"), now_ms)
         before = place.state.name
         if before and before != record.name:
@@ -386,7 +401,7 @@
             )
         self._wall(place, record.boot, record.wall_ms, record.steady_ms, record.name, now_ms)
 
-    def _adopted(self, place: Place, number: int, record: Adopted, now_ms: float) -> None:
+    def _adopted(self, place: Place, number: int, record: VersionAdopted, now_ms: float) -> None:
         state, told = place.state, record.version
         self.db.execute(
             "INSERT OR IGNORE INTO adoption VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
@@ -394,7 +409,7 @@
                 place.trail,
                 number,
                 state.name,
-                state.life,
+                state.incarnation,
                 state.boot,
                 told.kind,
                 told.origin,
@@ -410,7 +425,7 @@
         )
         if record.taken:
             self._close(place.trail, state, record.steady_ms)
-            self._stretch(place.trail, after(state, number, record))
+            self._stretch(place.trail, state_after(state, number, record))
         if told.kind == LIST and record.order in (OLDER, FORKED):
             held = state.versions.get(LIST)
             self.found(
@@ -454,14 +469,16 @@
                 now_ms,
             )
 
-    def _folded(self, place: Place, record: Folded) -> None:
+    def _folded(self, place: Place, record: CompactedRecords) -> None:
         """Records that were folded before they were taken: their totals, and no single calls."""
         self._flush()
         known = record.chain in [chain for _, chain in self._rows(place.name, record.last)]
         for total in () if known else record.totals:
             if total.to_ms <= place.last_ms and total.number < place.state.stretch:
                 continue  # taken whole, record by record
-            state = State(total.life, total.name, total.boot, total.versions, total.number, total.from_ms)
+            state = TrailState(
+                total.incarnation, total.name, total.boot, total.versions, total.number, total.from_ms
+            )
             stretch = self._stretch(place.trail, state)
             calls = sum(each.calls for each in total.tallies)
             self.db.execute(
--- a/birchstack/signals/board.py
+++ b/birchstack/signals/board.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from birchstack.interface import MOST_OBSERVERS, SignalKind
-from birchstack.signals.model import SIGNAL_LIFETIME_MS, Evidence, Sequences, Signal, SignalBatch, encode
+from birchstack.signals.model import SIGNAL_LIFETIME_MS, Cursor, Evidence, Signal, SignalBatch, encode
 from birchstack.signals.news import ChangeIndex
 
 MAX_ENDPOINTS = 16_384
@@ -22,7 +22,7 @@
 EVICTION_CANDIDATES = 8  # among this many oldest entries, the one with the fewest observers is evicted
 MIN_SERVED_CHANGE_MS = 500.0  # a served time that advances by less is not reported as a change
 MIN_WAIT_CHANGE_MS = 250.0  # a wait that grows by less is not reported as a change
-START: Sequences = (0, 0, 0)
+START_CURSOR: Cursor = (0, 0, 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
         )
 
 
-class Board:
+class SignalTable:
     """Merges signals, and returns to each reader what changed since its last read."""
 
     def __init__(self) -> None:
@@ -229,21 +229,23 @@
         self._last_sequence += 1
         self._changes[kind].record_change(endpoint, self._last_sequence)
 
-    def news(self, after: Sequences, now_ms: float, max_bytes: int) -> tuple[tuple[Evidence, ...], Sequences]:
+    def changes_since(
+        self, cursor: Cursor, now_ms: float, max_bytes: int
+    ) -> tuple[tuple[Evidence, ...], Cursor]:
         """Return the evidence that changed after a cursor, and the cursor for the next read.
 
         Waits come first, then served, then failed calls, each oldest change first, up to max_bytes but at
         least one item.
         """
         changed: dict[str, Evidence] = {}
-        cursor = [*after]
+        next_cursor = [*cursor]
         for place, kind in enumerate(SignalKind):
-            for endpoint, sequence in self._changes[kind].changes_after(after[place]):
+            for endpoint, sequence in self._changes[kind].changes_after(cursor[place]):
                 known = None if endpoint in changed else self.evidence(endpoint, now_ms)
                 if known is not None:
                     max_bytes -= len(encode(known))
                     if max_bytes < 0 and changed:
-                        return tuple(changed.values()), tuple(cursor)
+                        return tuple(changed.values()), tuple(next_cursor)
                     changed[endpoint] = known
-                cursor[place] = sequence
-        return tuple(changed.values()), tuple(cursor)
+                next_cursor[place] = sequence
+        return tuple(changed.values()), tuple(next_cursor)
--- a/birchstack/signals/echo.py
+++ b/birchstack/signals/echo.py
@@ -7,14 +7,14 @@
 
 from __future__ import annotations
 
-from birchstack.signals.model import Question
+from birchstack.signals.model import SignalRequest
 
-MOST_DELAY_MS = 1000.0  # a request with a longer transit is stale: its evidence is discarded
+MAX_TRANSIT_DELAY_MS = 1000.0  # a request with a longer transit is stale: its evidence is discarded
 
 
-def transit_delay_ms(request: Question, incarnation: str, clock_ms: float) -> float | None:
+def transit_delay_ms(request: SignalRequest, incarnation: str, clock_ms: float) -> float | None:
     """Return the transit delay; None if the request is stale or was meant for another incarnation."""
     if request.incarnation != incarnation:
         return None
     delay = clock_ms - request.sender_clock_ms - request.clock_age_ms
-    return max(0.0, delay) if delay <= MOST_DELAY_MS else None
+    return max(0.0, delay) if delay <= MAX_TRANSIT_DELAY_MS else None
--- a/birchstack/signals/model.py
+++ b/birchstack/signals/model.py
@@ -16,13 +16,13 @@
 
 from birchstack.interface import MOST_OBSERVERS, Report, SignalKind
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 MAX_WAIT_MS = 600_000  # longer waits are passed on as this
 SIGNAL_LIFETIME_MS = 10_000.0  # served and failed calls are passed on up to this age
 
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
-Sequences = tuple[
+Cursor = tuple[
     Count, Count, Count
 ]  # cursor: last sequence number received of each signal kind, in kind order
 
@@ -49,13 +49,13 @@
     """Signals of one observer.
 
     incarnation: random identifier of its process. incarnation_age_ms: time since that process became active.
-    heard: whether the request's evidence was accepted, so that it need not be sent again.
+    request_accepted: whether the request's evidence was accepted, so that it need not be sent again.
     """
 
     version: int
     incarnation: Name
     incarnation_age_ms: Count
-    heard: bool
+    request_accepted: bool
     signals: tuple[Signal, ...] = ()
 
 
@@ -86,7 +86,7 @@
         )
 
 
-class Question(Struct, frozen=True, array_like=True):
+class SignalRequest(Struct, frozen=True, array_like=True):
     """A collector's request to a participating sender.
 
     acknowledged: cursor of the signals that the collector has from that sender. incarnation,
@@ -95,16 +95,16 @@
     """
 
     version: int
-    acknowledged: Sequences
+    acknowledged: Cursor
     incarnation: Name
     sender_clock_ms: float
     clock_age_ms: float
     evidence: tuple[Evidence, ...] = ()
 
 
-Message = TypeVar("Message", SignalBatch, Question)
+Message = TypeVar("Message", SignalBatch, SignalRequest)
 _decode_batch = msgspec.msgpack.Decoder(SignalBatch).decode
-_decode_request = msgspec.msgpack.Decoder(Question).decode
+_decode_request = msgspec.msgpack.Decoder(SignalRequest).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
@@ -114,8 +114,8 @@
         message = decode(data)
     except msgspec.DecodeError as problem:
         raise SignalError(str(problem)) from problem
-    if message.version != VERSION:
-        raise SignalError(f"unsupported version {message.version}, expected {VERSION}")
+    if message.version != PROTOCOL_VERSION:
+        raise SignalError(f"unsupported version {message.version}, expected {PROTOCOL_VERSION}")
     return message
 
 
@@ -124,6 +124,6 @@
     return _decode_versioned(_decode_batch, data)
 
 
-def decode_request(data: bytes) -> Question:
+def decode_request(data: bytes) -> SignalRequest:
     """Decode a collector's request. Raises SignalError."""
     return _decode_versioned(_decode_request, data)
--- a/birchstack/signals/outbox.py
+++ b/birchstack/signals/outbox.py
@@ -14,9 +14,9 @@
 from birchstack.interface import SignalKind
 from birchstack.signals.model import (
     MAX_WAIT_MS,
+    PROTOCOL_VERSION,
     SIGNAL_LIFETIME_MS,
-    VERSION,
-    Sequences,
+    Cursor,
     Signal,
     SignalBatch,
     encode,
@@ -67,9 +67,9 @@
 
     def empty_batch(self, now_ms: float) -> SignalBatch:
         """Return a batch for a collector new to this process, or whose request was not accepted."""
-        return SignalBatch(VERSION, self._incarnation, int(now_ms - self._started_ms), False)
+        return SignalBatch(PROTOCOL_VERSION, self._incarnation, int(now_ms - self._started_ms), False)
 
-    def batch(self, now_ms: float, acknowledged: Sequences, max_bytes: int) -> SignalBatch:
+    def batch(self, now_ms: float, acknowledged: Cursor, max_bytes: int) -> SignalBatch:
         """Return the signals that a collector has not acknowledged, up to max_bytes but at least one.
 
         Waits come first, then served, then failed calls, each oldest first. The remaining signals are sent
@@ -77,11 +77,11 @@
         """
         return msgspec.structs.replace(
             self.empty_batch(now_ms),
-            heard=True,
+            request_accepted=True,
             signals=tuple(self._unacknowledged(now_ms, acknowledged, max_bytes)),
         )
 
-    def _unacknowledged(self, now_ms: float, acknowledged: Sequences, max_bytes: int) -> Iterator[Signal]:
+    def _unacknowledged(self, now_ms: float, acknowledged: Cursor, max_bytes: int) -> Iterator[Signal]:
         """Yield the signals of a batch, dropping those that have expired."""
         first = True
         for kind, last in zip(SignalKind, acknowledged, strict=True):
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -71,7 +71,7 @@
 
     def frame(self, record):
         if self.last % 40 == 39:
-            return records.frame(self.last, self.chain, record)
+            return records.encode_frame(self.last, self.chain, record)
         return old(self, record)
 
     patch.set(trail.AuditTrail, "encode_frame", frame)
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -7,7 +7,7 @@
 
 from birchstack.cli import main
 from birchstack.fleet import wire
-from birchstack.fleet.records import START, Acted, Adopted, Life, frame
+from birchstack.fleet.records import INITIAL_CHAIN, ProcessStart, TurnActions, VersionAdopted, encode_frame
 from birchstack.fleet.versions import LIST, Version
 from birchstack.keeper.config import KeeperError, decode
 from birchstack.keeper.store import Store
@@ -20,11 +20,11 @@
 
 
 def piece(records, name="n1", trail="t1", after=0, now=100.0, **words):
-    chain, frames = START, []
+    chain, frames = INITIAL_CHAIN, []
     for number, each in enumerate(records, 1):
-        data, chain = frame(number, chain, each)
+        data, chain = encode_frame(number, chain, each)
         frames.append(data if number > after else b"")
-    return wire.Piece(
+    return wire.TrailResponse(
         name=name,
         process="p1",
         boot="b",
@@ -41,10 +41,10 @@
 
 
 RECORDS = [
-    Life("l1", "n1", "b", 1000.0, 1.0),
-    Adopted(version(1), "first", "x", 1001.0, 2.0),
-    Acted(10.0, ("d1", "e1", "d2", "e2")),
-    Acted(30.0, ("d3", "e1"), 2, ("d9",)),
+    ProcessStart("l1", "n1", "b", 1000.0, 1.0),
+    VersionAdopted(version(1), "first", "x", 1001.0, 2.0),
+    TurnActions(10.0, ("d1", "e1", "d2", "e2")),
+    TurnActions(30.0, ("d3", "e1"), 2, ("d9",)),
 ]
 
 
@@ -145,7 +145,7 @@
         made.places["a:1"].next = 1  # as if it had forgotten
         made.places["a:1"].begin(looking=False)
     assert made.commit() and made.db.execute("SELECT count(*) FROM call").fetchone() == (4,)
-    many = [*RECORDS, *(Acted(100.0 + at, (f"document-{at}", "e1")) for at in range(20000))]
+    many = [*RECORDS, *(TurnActions(100.0 + at, (f"document-{at}", "e1")) for at in range(20000))]
     full = False
     try:
         made.take("a:1", piece(many, now=1e6), 1e6, 1.0)
@@ -156,18 +156,23 @@
     assert full, "a store of one megabyte does not hold this"
     assert made.db.execute("SELECT count(*) FROM call").fetchone() == (4,), "all of it or nothing"
     assert made.wanted("a:1") <= 4, "what was not kept is asked for again"
-    made.take("a:1", piece([*RECORDS, Acted(50.0, ("d5", "e2"))]), 200.0, 1.0)
+    made.take("a:1", piece([*RECORDS, TurnActions(50.0, ("d5", "e2"))]), 200.0, 1.0)
     assert made.commit() and made.db.execute("SELECT count(*) FROM call").fetchone() == (5,)
 
 
 def test_a_record_altered_after_it_was_taken_and_bytes_that_are_none_are_findings(tmp_path):
     made = Store(str(tmp_path / "s.sqlite"))
     made.take("a:1", piece(RECORDS), 100.0, 1.0)
-    forged = [*RECORDS[:2], Acted(10.0, ("forged", "e1")), *RECORDS[3:], Acted(40.0, ("d4", "e1"))]
+    forged = [
+        *RECORDS[:2],
+        TurnActions(10.0, ("forged", "e1")),
+        *RECORDS[3:],
+        TurnActions(40.0, ("d4", "e1")),
+    ]
     told = piece(forged, after=4)
     assert made.take("a:1", told, 200.0, 1.0), "it does not follow: read from the start"
     made.take("a:1", piece(forged), 200.0, 1.0)
-    spoilt = wire.Piece(
+    spoilt = wire.TrailResponse(
         name="n2",
         process="p",
         boot="b",
--- a/tests/test_fleet_lag.py
+++ b/tests/test_fleet_lag.py
@@ -9,73 +9,73 @@
 from birchstack.fleet.versions import LIST, Version
 from birchstack.keeper.questions import Stores
 
-BOUNDS = lag.Bounds(1000.0, 1000.0, 60_000.0)
+THRESHOLDS = lag.LagThresholds(1000.0, 1000.0, 60_000.0)
 
 
 def version(number, digest="", epoch=""):
     return Version(LIST, "x", epoch, number, digest or f"{number:032x}")
 
 
-GIVEN = lag.Given(((version(1), 0.0), (version(2), 5000.0), (version(3), 10_000.0)), 19_900.0)
+PUBLISHED = lag.PublishedLists(((version(1), 0.0), (version(2), 5000.0), (version(3), 10_000.0)), 19_900.0)
 
 
-def judge(*held, now=20_000.0, given=GIVEN, turns=None, answered=19_900.0, heard=0.0):
+def judge(*held, now=20_000.0, published=PUBLISHED, flap_history=None, answered=19_900.0, heard=0.0):
     """The verdicts on senders n0, n1 ... that hold these lists; None for a sender that never answered."""
-    sightings = [
-        lag.Sighting(f"n{at}", answered if each is not None else None, each, heard)
+    snapshots = [
+        lag.SenderSnapshot(f"n{at}", answered if each is not None else None, each, heard)
         for at, each in enumerate(held)
     ]
-    return lag.judge(sightings, given, now, BOUNDS, turns or lag.Turns())
+    return lag.judge(snapshots, published, now, THRESHOLDS, flap_history or lag.FlapHistory())
 
 
 @pytest.mark.parametrize(
     "held, what, evidence",
     [
-        (version(3), lag.WELL, "acts on 3@"),
+        (version(3), lag.HEALTHY, "acts on 3@"),
         (version(2), lag.BEHIND, "10.0 s ago"),
         (version(1), lag.BEHIND, "15.0 s ago"),
-        (version(3, "f" * 32), lag.FORK, "another content"),
-        (version(2, "f" * 32), lag.FORK, "another content"),
+        (version(3, "f" * 32), lag.ON_FORK, "another content"),
+        (version(2, "f" * 32), lag.ON_FORK, "another content"),
         (version(7), lag.AHEAD, "beyond 3@"),
-        (version(9, epoch="e"), lag.STRANGE, "another epoch"),
+        (version(9, epoch="e"), lag.FOREIGN_EPOCH, "another epoch"),
         (None, lag.SILENT, "never"),
     ],
 )
 def test_each_verdict_states_its_evidence(held, what, evidence):
     verdict = judge(held, *[version(3)] * 4).verdicts[0]
     assert verdict.what == what and evidence in verdict.evidence
-    assert verdict.straggler == (what not in (lag.WELL, lag.SILENT))
+    assert verdict.straggler == (what not in (lag.HEALTHY, lag.SILENT))
 
 
 def test_a_recent_list_may_be_late_and_a_frozen_list_is_distinguished_from_a_cut_link():
-    assert judge(version(2), version(3), now=10_900.0, answered=10_800.0).verdicts[0].what == lag.WELL
+    assert judge(version(2), version(3), now=10_900.0, answered=10_800.0).verdicts[0].what == lag.HEALTHY
     assert "its watch beats" in judge(version(2), version(3)).verdicts[0].evidence
     assert "hears nothing" in judge(version(2), version(3), heard=9000.0).verdicts[0].evidence
 
 
 def test_a_fleet_that_lags_as_a_whole_or_a_keeper_that_is_cut_off_yields_no_stragglers():
-    for given, held, fleet in [
-        (lag.Given(GIVEN.versions, 1000.0), [version(2)] * 3, lag.FLEET_STALE),
-        (GIVEN, [version(2), version(2), version(3)], lag.FLEET_STALE),
-        (GIVEN, [None, None, version(2)], lag.KEEPER_CUT_OFF),
-        (lag.Given(GIVEN.versions, 1000.0), [None, None, version(3)], lag.KEEPER_CUT_OFF),
+    for published, held, fleet in [
+        (lag.PublishedLists(PUBLISHED.versions, 1000.0), [version(2)] * 3, lag.FLEET_STALE),
+        (PUBLISHED, [version(2), version(2), version(3)], lag.FLEET_STALE),
+        (PUBLISHED, [None, None, version(2)], lag.KEEPER_CUT_OFF),
+        (lag.PublishedLists(PUBLISHED.versions, 1000.0), [None, None, version(3)], lag.KEEPER_CUT_OFF),
     ]:
-        assessment = judge(*held, given=given)
+        assessment = judge(*held, published=published)
         assert assessment.fleet == fleet and assessment.evidence and not assessment.stragglers()
     assert [each.sender for each in judge(version(2), version(3), version(3)).stragglers()] == ["n0"]
 
 
 def test_a_sender_that_falls_behind_repeatedly_is_flapping():
-    turns = lag.Turns()
+    flap_history = lag.FlapHistory()
     for round_ in range(3):
         begin = 20_000.0 + 10_000.0 * round_
-        given = lag.Given((*GIVEN.versions, (version(4 + round_), begin)), begin + 5000.0)
+        published = lag.PublishedLists((*PUBLISHED.versions, (version(4 + round_), begin)), begin + 5000.0)
         assessment = judge(
             version(3 + round_),
             *[version(4 + round_)] * 3,
             now=begin + 5000.0,
-            given=given,
-            turns=turns,
+            published=published,
+            flap_history=flap_history,
             answered=begin + 4900.0,
         )
         assert assessment.verdicts[0].what == (lag.FLAPPING if round_ == 2 else lag.BEHIND)
@@ -83,12 +83,12 @@
             version(4 + round_),
             *[version(4 + round_)] * 3,
             now=begin + 6000.0,
-            given=given,
-            turns=turns,
+            published=published,
+            flap_history=flap_history,
             answered=begin + 5900.0,
         )
-    turns.keep({"n1"})
-    assert turns.many("n0", 50_000.0, 60_000.0) == 0
+    flap_history.retain({"n1"})
+    assert flap_history.count_within("n0", 50_000.0, 60_000.0) == 0
 
 
 SHORT_LIMITS = {"senders": 5, "endpoints": 2, "destinations": 2, "keeper": {"behind_s": 1.0, "silent_s": 1.0}}
--- a/tests/test_fleet_sender.py
+++ b/tests/test_fleet_sender.py
@@ -9,7 +9,7 @@
 from fake import World, config
 
 from birchstack.fleet import wire
-from birchstack.fleet.records import Acted, Adopted, Ended, Life, scan
+from birchstack.fleet.records import ProcessEnd, ProcessStart, TurnActions, VersionAdopted, scan_frames
 from birchstack.fleet.versions import FOREIGN, FORKED, LIST, NEWER, OLDER, SETTINGS
 
 FLEET_FILE = "[trail]\nbytes = 200000\n"
@@ -31,12 +31,12 @@
 async def read_trail(world, after=0):
     """The sender's response on the operators' port, and its records by number."""
     reader, writer = await asyncio.open_connection("127.0.0.1", world.ops)
-    writer.write(f"GET {wire.target(after)} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
+    writer.write(f"GET {wire.request_target(after)} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
     head, _, body = (await reader.read()).partition(b"\r\n\r\n")
     writer.close()
     assert head.startswith(b"HTTP/1.1 200")
     response = wire.decode(body)
-    return response, {each.number: each.record() for each in scan(response.frames)}
+    return response, {each.number: each.record() for each in scan_frames(response.frames)}
 
 
 def test_each_call_is_recorded_after_the_adoption_of_the_list_it_was_made_with(tmp_path, monkeypatch):
@@ -50,16 +50,16 @@
         response, records = await read_trail(world)
         assert [*records] == [*range(1, response.last + 1)] and response.holds and response.ready
         kinds = [type(each) for each in records.values()]
-        assert kinds[0] is Life and kinds.count(Acted) == 2
+        assert kinds[0] is ProcessStart and kinds.count(TurnActions) == 2
         lists = [
             (n, each)
             for n, each in records.items()
-            if isinstance(each, Adopted) and each.version.kind == LIST
+            if isinstance(each, VersionAdopted) and each.version.kind == LIST
         ]
         assert [(each.version.number, each.order) for _, each in lists] == [(7, "first"), (8, NEWER)]
-        call_records = {each.calls[0]: n for n, each in records.items() if isinstance(each, Acted)}
+        call_records = {each.calls[0]: n for n, each in records.items() if isinstance(each, TurnActions)}
         assert lists[0][0] < call_records["d1"] < lists[1][0] < call_records["d2"]
-        assert {each.version.kind for each in records.values() if isinstance(each, Adopted)} == {
+        assert {each.version.kind for each in records.values() if isinstance(each, VersionAdopted)} == {
             "program",
             "decisions",
             "form",
@@ -96,7 +96,9 @@
         await asyncio.sleep(0.2)
         _, records = await read_trail(world)
         received = [
-            each for each in records.values() if isinstance(each, Adopted) and each.version.kind == LIST
+            each
+            for each in records.values()
+            if isinstance(each, VersionAdopted) and each.version.kind == LIST
         ]
         assert [each.order for each in received] == ["first", NEWER, OLDER, FORKED, FOREIGN]
         assert [each.version.number for each in received if each.taken][1:] == numbers
@@ -135,10 +137,12 @@
         await world.start()
         _, records = await read_trail(world)
         found = [each for each in records.values()]
-        end = next(at for at, each in enumerate(found) if isinstance(each, Ended))
-        assert isinstance(found[end + 1], Life) and found[end + 1].life != found[0].life
+        end = next(at for at, each in enumerate(found) if isinstance(each, ProcessEnd))
+        assert isinstance(found[end + 1], ProcessStart) and found[end + 1].incarnation != found[0].incarnation
         settings = [
-            each.version for each in found if isinstance(each, Adopted) and each.version.kind == SETTINGS
+            each.version
+            for each in found
+            if isinstance(each, VersionAdopted) and each.version.kind == SETTINGS
         ]
         assert [each.number for each in settings] == [None, 4, None] and len(
             {each.digest for each in settings}
--- a/tests/test_fleet_trail.py
+++ b/tests/test_fleet_trail.py
@@ -19,24 +19,24 @@
 
 
 def process_start(number=1, name="n1"):
-    return r.Life(f"life{number}", name, "boot", 1000.0 + number, float(number))
+    return r.ProcessStart(f"life{number}", name, "boot", 1000.0 + number, float(number))
 
 
 def adopted(number, now=2.0):
-    return r.Adopted(Version(LIST, "o", "", number, f"{number:032x}"), "newer", "o", now, now)
+    return r.VersionAdopted(Version(LIST, "o", "", number, f"{number:032x}"), "newer", "o", now, now)
 
 
 def acted(now, *calls):
-    return r.Acted(now, tuple(word for doc in calls for word in (doc, f"s-{len(doc) % 3}")))
+    return r.TurnActions(now, tuple(word for doc in calls for word in (doc, f"s-{len(doc) % 3}")))
 
 
 def read(files, after=0, chained=True):
     """All records after a number as a collector reads them, (number, record), each verified by the chain."""
     found, chain, number = [], None, after
     while frames := files.trail.read_after(number, 4096):
-        for each in r.scan(frames):
+        for each in r.scan_frames(frames):
             record = each.record()
-            if chained and chain and not isinstance(record, r.Folded) and each.number == number + 1:
+            if chained and chain and not isinstance(record, r.CompactedRecords) and each.number == number + 1:
                 assert each.follows(chain)
             assert each.number > number
             number, chain = each.number, each.chain
@@ -75,15 +75,15 @@
         assert disk.used() <= LIMIT + 512 * (2 * SEGMENTS + 4)
     files = audit_files(disk)
     (first, compacted), *rest = read(files)
-    assert isinstance(compacted, r.Folded) and compacted.first == 1 and rest[0][0] == first + 1
+    assert isinstance(compacted, r.CompactedRecords) and compacted.first == 1 and rest[0][0] == first + 1
     calls = {}
     for total in compacted.totals:
         calls[total.number] = sum(each.calls for each in total.tallies)
         assert not total.mixed
     state = compacted.state
     for number, record in rest:
-        state = r.after(state, number, record)
-        if isinstance(record, r.Acted):
+        state = r.state_after(state, number, record)
+        if isinstance(record, r.TurnActions):
             calls[state.stretch] = calls.get(state.stretch, 0) + len(record.calls) // 2
     assert [count for count in calls.values() if count] == [1000] * 5
     assert read(files, first + 3)[0][0] == first + 4, "a reader past the compacted records gets no totals"
@@ -99,7 +99,7 @@
     assert len(compacted.totals) <= MAX_TOTALS
     assert compacted.totals[0].mixed and not compacted.totals[0].versions
     calls = sum(each.calls for total in compacted.totals for each in total.tallies)
-    assert calls + sum(isinstance(record, r.Acted) for _, record in read(files)) == 3000
+    assert calls + sum(isinstance(record, r.TurnActions) for _, record in read(files)) == 3000
 
 
 @pytest.mark.parametrize("how", [BEFORE, TORN, AFTER])
@@ -120,7 +120,7 @@
         assert restarted.write(process_start(2), 9.0)
         found = read(restarted)
         first = found[0][1]
-        covered = first.last - first.first + 1 if isinstance(first, r.Folded) else 1
+        covered = first.last - first.first + 1 if isinstance(first, r.CompactedRecords) else 1
         assert covered + len(found) - 1 == restarted.trail.last, "a number is missing"
         assert not [record for _, record in found if isinstance(record, r.Gap)]
 
@@ -189,9 +189,11 @@
     files.write(process_start(), 1.0)
     write_turns(files, 9)
     name = next(name for name in disk.files if name.startswith("trail-t-0"))
-    frames = [*r.scan(bytes(disk.files[name]))]
-    forged, _ = r.frame(5, frames[3].chain, acted(1.0, "forged"))
-    disk.files[name] = bytearray(b"".join(forged if each.number == 5 else each.bytes() for each in frames))
+    frames = [*r.scan_frames(bytes(disk.files[name]))]
+    forged, _ = r.encode_frame(5, frames[3].chain, acted(1.0, "forged"))
+    disk.files[name] = bytearray(
+        b"".join(forged if each.number == 5 else each.stored_bytes() for each in frames)
+    )
     restarted = audit_files(disk)
     restarted.write(process_start(2), 99.0)
     gaps = [each.why for _, each in read(restarted, 0, False) if isinstance(each, r.Gap)]
@@ -201,14 +203,14 @@
 def test_random_bytes_between_frames_are_never_decoded_as_a_record():
     chance = random.Random(3)
     for _ in range(200):
-        frames, chain, data = [], r.START, b""
+        frames, chain, data = [], r.INITIAL_CHAIN, b""
         for number in range(1, 8):
-            frame, chain = r.frame(number, chain, acted(float(number), "d"))
+            frame, chain = r.encode_frame(number, chain, acted(float(number), "d"))
             frames.append(frame)
             data += chance.randbytes(chance.randrange(20)) + frame
-        found = [each.bytes() for each in r.scan(data) if isinstance(each, r.Frame)]
+        found = [each.stored_bytes() for each in r.scan_frames(data) if isinstance(each, r.Frame)]
         assert found == frames
         cut = chance.randrange(len(data))
-        assert [each.bytes() for each in r.scan(data[:cut]) if isinstance(each, r.Frame)] == [
+        assert [each.stored_bytes() for each in r.scan_frames(data[:cut]) if isinstance(each, r.Frame)] == [
             each for each in frames if data.index(each) + len(each) <= cut
         ]
--- a/tests/test_fleet_versions.py
+++ b/tests/test_fleet_versions.py
@@ -56,7 +56,7 @@
 
 
 def test_the_digest_covers_only_what_is_the_same_for_every_sender():
-    one, other = v.Contents(), v.Contents()
+    one, other = v.ListContents(), v.ListContents()
     one.apply(True, [entry("a"), entry("b")])
     other.apply(True, [entry("b", endpoint="10.9.9.9:1", boot_ms=5), entry("a", capacity_hint=0.4)])
     assert one.digest() == other.digest()
@@ -68,20 +68,20 @@
 
 def test_changes_lead_to_the_same_digest_as_the_whole_list():
     chance = random.Random(7)
-    state, incremental, rebuilt = {}, v.Contents(), v.Contents()
+    state, incremental, rebuilt = {}, v.ListContents(), v.ListContents()
     for _ in range(300):
         uid, now = f"s-{chance.randrange(20)}", chance.choice(["active", "leaving", "left"])
         changed = incremental.apply(False, [entry(uid, now)])
         assert changed == ({} if state.get(uid, "left") == now else {uid: now})
         state[uid] = now
         state = {each: now for each, now in state.items() if now != "left"}
-        rebuilt = v.Contents()
+        rebuilt = v.ListContents()
         rebuilt.apply(True, [entry(each, now) for each, now in state.items()])
         assert rebuilt.digest() == incremental.digest() and rebuilt.states == incremental.states == state
 
 
 def test_a_whole_list_reports_omitted_entries_as_left():
-    held = v.Contents()
+    held = v.ListContents()
     held.apply(True, [entry("a"), entry("b")])
     changed = held.apply(True, [entry("b", "leaving"), entry("c")])
     assert changed == {"a": "left", "b": "leaving", "c": "active"}
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -5,16 +5,16 @@
 import pytest
 
 from birchstack.fleet import wire
-from birchstack.fleet.settings import Signals
-from birchstack.fleet.signalling import Signalling
+from birchstack.fleet.settings import SignalSettings
+from birchstack.fleet.signalling import SignalParticipant
 from birchstack.interface import MOST_OBSERVERS, SignalKind
 from birchstack.keeper.config import Asks
 from birchstack.keeper.relay import Relay
 from birchstack.signals import board as boards
 from birchstack.signals import model
-from birchstack.signals.board import START, Board
-from birchstack.signals.echo import MOST_DELAY_MS, transit_delay_ms
-from birchstack.signals.model import SIGNAL_LIFETIME_MS, VERSION, Question, Signal, SignalBatch
+from birchstack.signals.board import START_CURSOR, SignalTable
+from birchstack.signals.echo import MAX_TRANSIT_DELAY_MS, transit_delay_ms
+from birchstack.signals.model import PROTOCOL_VERSION, SIGNAL_LIFETIME_MS, Signal, SignalBatch, SignalRequest
 from birchstack.signals.outbox import MAX_SIGNALS_PER_KIND, Outbox
 
 WAIT, SERVED, FAILED = SignalKind
@@ -22,12 +22,12 @@
 
 
 def batch(*signals, incarnation="incarnation", age_ms=60_000):
-    return SignalBatch(VERSION, incarnation, age_ms, True, signals)
+    return SignalBatch(PROTOCOL_VERSION, incarnation, age_ms, True, signals)
 
 
 def merge_failures(observers, endpoint="a", now=0.0, board=None, age_ms=0):
     """A board into which each observer reported one failure of the endpoint."""
-    board = Board() if board is None else board
+    board = SignalTable() if board is None else board
     for observer in observers:
         board.merge(observer, batch(Signal(endpoint, FAILED, 1, age_ms)), now)
     return board
@@ -66,7 +66,7 @@
     for _ in range(300):
         batches, results = random_batches(chance), set()
         for _ in range(4):
-            board = Board()
+            board = SignalTable()
             repeated = [*batches, *chance.sample(batches, len(batches) // 2)]
             chance.shuffle(repeated)
             for observer, each in repeated:
@@ -79,7 +79,7 @@
     chance = random.Random("many")
     ages = {f"n{at:02}": 100 * at for at in range(MOST_OBSERVERS + 9)}
     for _ in range(50):
-        board, names = Board(), [*ages] * 2
+        board, names = SignalTable(), [*ages] * 2
         chance.shuffle(names)
         for name in names:
             board.merge(name, batch(Signal("a", FAILED, 1, ages[name])), 1e6)
@@ -87,7 +87,7 @@
 
 
 def test_one_observer_counts_once_however_many_signals_it_sends():
-    board = Board()
+    board = SignalTable()
     for number in range(1, 60):
         board.merge("noisy", batch(Signal("a", FAILED, number, 0)), 50.0 * number)
     assert board.evidence("a", 3000.0).failed_by == 1
@@ -141,14 +141,14 @@
     board = merge_failures(["n1"], "f1")
     merge_failures(["n1"], "f2", board=board)
     board.merge("n2", batch(Signal("s1", SERVED, 1, 0), Signal("w1", WAIT, 2, 0, 9000)), 0.0)
-    evidence, cursor = board.news(START, 0.0, AMPLE_BYTES)
+    evidence, cursor = board.changes_since(START_CURSOR, 0.0, AMPLE_BYTES)
     assert [each.endpoint for each in evidence] == ["w1", "s1", "f1", "f2"]
-    assert board.news(cursor, 0.0, AMPLE_BYTES) == ((), cursor)
+    assert board.changes_since(cursor, 0.0, AMPLE_BYTES) == ((), cursor)
     merge_failures(["n2"], "f1", board=board)
-    evidence, cursor = board.news(cursor, 0.0, AMPLE_BYTES)
+    evidence, cursor = board.changes_since(cursor, 0.0, AMPLE_BYTES)
     assert [(each.endpoint, each.failed_by) for each in evidence] == [("f1", 2)]
-    seen, cursor, reads = [], START, 0
-    while changes := board.news(cursor, 0.0, 30):
+    seen, cursor, reads = [], START_CURSOR, 0
+    while changes := board.changes_since(cursor, 0.0, 30):
         evidence, cursor = changes
         assert len(b"".join(map(model.encode, evidence))) <= 30
         seen += [each.endpoint for each in evidence]
@@ -160,13 +160,13 @@
 
 def test_an_observation_without_new_information_is_not_a_change():
     board = merge_failures(["n1", "n2"])
-    _, cursor = board.news(START, 0.0, AMPLE_BYTES)
+    _, cursor = board.changes_since(START_CURSOR, 0.0, AMPLE_BYTES)
     for number in range(2, 40):
         board.merge("n1", batch(Signal("a", FAILED, number, 0)), 100.0 * number)
-    assert board.news(cursor, 4000.0, AMPLE_BYTES)[0] == ()
+    assert board.changes_since(cursor, 4000.0, AMPLE_BYTES)[0] == ()
     later = 5 * SIGNAL_LIFETIME_MS
     board.merge("n1", batch(Signal("a", FAILED, 41, 0)), later)
-    changed = board.news(cursor, later, AMPLE_BYTES)[0]
+    changed = board.changes_since(cursor, later, AMPLE_BYTES)[0]
     assert [each.failed_by for each in changed] == [1], "a new failure"
 
 
@@ -175,13 +175,13 @@
     outbox.record(100.0, "a", FAILED, 0.0)
     outbox.record(101.0, "a", FAILED, 0.0)
     outbox.record(102.0, "b", WAIT, 700_000.0)
-    sent = outbox.batch(200.0, START, AMPLE_BYTES)
+    sent = outbox.batch(200.0, START_CURSOR, AMPLE_BYTES)
     assert sent.signals == (Signal("b", WAIT, 2, 98, model.MAX_WAIT_MS), Signal("a", FAILED, 1, 100))
-    assert sent.incarnation_age_ms == 200 and sent.heard
+    assert sent.incarnation_age_ms == 200 and sent.request_accepted
     assert outbox.batch(200.0, (2, 0, 1), AMPLE_BYTES).signals == ()
     outbox.record(700.0, "a", FAILED, 0.0)
     assert [each.sequence for each in outbox.batch(700.0, (2, 0, 1), AMPLE_BYTES).signals] == [3]
-    late = outbox.batch(60_000.0, START, AMPLE_BYTES).signals
+    late = outbox.batch(60_000.0, START_CURSOR, AMPLE_BYTES).signals
     assert [each.endpoint for each in late] == ["b"], "the sender was suspended meanwhile"
 
 
@@ -189,7 +189,7 @@
     outbox = Outbox("incarnation", 0.0)
     for number in range(MAX_SIGNALS_PER_KIND + 50):
         outbox.record(1.0, f"e{number}", FAILED, 0.0)
-    acknowledged, seen = START, []
+    acknowledged, seen = START_CURSOR, []
     while signals := outbox.batch(2.0, acknowledged, 200).signals:
         assert sum(len(model.encode(each)) for each in signals) <= 200
         seen += [each.endpoint for each in signals]
@@ -199,15 +199,15 @@
 
 def test_an_item_larger_than_the_byte_limit_is_sent_alone_and_blocks_nothing():
     long_name = "e" * 250
-    outbox, board = Outbox("incarnation", 0.0), Board()
+    outbox, board = Outbox("incarnation", 0.0), SignalTable()
     for endpoint in (long_name, "a"):
         outbox.record(1.0, endpoint, FAILED, 0.0)
         merge_failures(["n1"], endpoint, board=board)
-    assert [each.endpoint for each in outbox.batch(2.0, START, 64).signals] == [long_name]
+    assert [each.endpoint for each in outbox.batch(2.0, START_CURSOR, 64).signals] == [long_name]
     assert [each.endpoint for each in outbox.batch(2.0, (0, 0, 1), 64).signals] == ["a"]
-    evidence, cursor = board.news(START, 0.0, 64)
+    evidence, cursor = board.changes_since(START_CURSOR, 0.0, 64)
     assert [each.endpoint for each in evidence] == [long_name]
-    assert [each.endpoint for each in board.news(cursor, 0.0, 64)[0]] == ["a"]
+    assert [each.endpoint for each in board.changes_since(cursor, 0.0, 64)[0]] == ["a"]
 
 
 def test_one_exchange_with_the_default_settings_takes_at_most_500_bytes():
@@ -217,19 +217,19 @@
     for _ in range(20):
         for place, sender in enumerate(exchange.senders.values()):
             for number in range(200):
-                sender.observed(f"s-5be2a07c-{place}-{number}", FAILED, 0.0)
+                sender.record_observation(f"s-5be2a07c-{place}-{number}", FAILED, 0.0)
         exchange.now += 1000.0
         request = exchange.relay.question("n1", exchange.now)
-        sizes.append(len(request) + len(exchange.senders["n1"].answer(request)))
+        sizes.append(len(request) + len(exchange.senders["n1"].respond(request)))
         exchange.rounds(1)
     assert 400 < max(sizes) <= 500
 
 
 def test_a_request_is_accepted_only_by_its_addressed_process_and_while_it_is_fresh():
-    request = Question(VERSION, START, "incarnation", 5000.0, 400.0)
+    request = SignalRequest(PROTOCOL_VERSION, START_CURSOR, "incarnation", 5000.0, 400.0)
     assert transit_delay_ms(request, "incarnation", 5403.0) == 3.0
-    assert transit_delay_ms(request, "incarnation", 5400.0 + MOST_DELAY_MS) == MOST_DELAY_MS
-    assert transit_delay_ms(request, "incarnation", 5401.0 + MOST_DELAY_MS) is None
+    assert transit_delay_ms(request, "incarnation", 5400.0 + MAX_TRANSIT_DELAY_MS) == MAX_TRANSIT_DELAY_MS
+    assert transit_delay_ms(request, "incarnation", 5401.0 + MAX_TRANSIT_DELAY_MS) is None
     unread = transit_delay_ms(request, "incarnation", 65_000.0)
     assert unread is None, "it lay unread while the sender was suspended"
     assert transit_delay_ms(request, "other", 5403.0) is None
@@ -252,8 +252,10 @@
         self.senders = {name: self.start_sender(name) for name in names}
 
     def start_sender(self, name, incarnation="1"):
-        sender = Signalling(Signals(), f"{name}/{incarnation}", lambda: self.now, self.reports[name].extend)
-        sender.begins()
+        sender = SignalParticipant(
+            SignalSettings(), f"{name}/{incarnation}", lambda: self.now, self.reports[name].extend
+        )
+        sender.start()
         return sender
 
     def poll(self, name, request_ms=1.0, response_ms=1.0, lost=False, answers_as=None):
@@ -261,13 +263,13 @@
         request, sent_ms = self.relay.question(name, self.now), self.now
         self.now += request_ms
         sender = self.senders[name]
-        response = wire.Piece(
+        response = wire.TrailResponse(
             name=answers_as or name,
             process=sender._incarnation,
             boot="",
             wall_ms=0.0,
             steady_ms=self.now,
-            signals=sender.answer(request or b""),
+            signals=sender.respond(request or b""),
         )
         self.now += response_ms
         if not lost:
@@ -282,25 +284,25 @@
 def test_an_observation_reaches_the_other_senders_once_with_its_age():
     exchange = SignalExchange("n1", "n2")
     exchange.rounds()
-    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.senders["n1"].record_observation("a", FAILED, 0.0)
     exchange.now += 500.0
     exchange.rounds()
     (report,) = exchange.reports["n2"]
     assert (report.endpoint, report.failed_by) == ("a", 1) and 500.0 < report.last_ms < 510.0
     exchange.rounds(3)
     assert len(exchange.reports["n2"]) == 1
-    assert exchange.senders["n2"].live()
+    assert exchange.senders["n2"].is_live()
     exchange.now += 4000.0
-    assert not exchange.senders["n2"].live()
+    assert not exchange.senders["n2"].is_live()
 
 
 def test_evidence_is_sent_again_until_a_response_acknowledges_it():
     exchange = SignalExchange("n1", "n2")
     exchange.rounds()
-    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.senders["n1"].record_observation("a", FAILED, 0.0)
     exchange.poll("n1")
     exchange.poll("n2", lost=True)
-    exchange.poll("n2", request_ms=2 * MOST_DELAY_MS)
+    exchange.poll("n2", request_ms=2 * MAX_TRANSIT_DELAY_MS)
     assert len(exchange.reports["n2"]) == 1, "the stale request was rejected"
     exchange.poll("n2")
     assert len(exchange.reports["n2"]) == 2
@@ -311,8 +313,8 @@
 def test_a_response_with_a_long_transit_is_discarded_and_requested_again():
     exchange = SignalExchange("n1", "n2")
     exchange.rounds()
-    exchange.senders["n1"].observed("a", FAILED, 0.0)
-    exchange.poll("n1", response_ms=2 * MOST_DELAY_MS)
+    exchange.senders["n1"].record_observation("a", FAILED, 0.0)
+    exchange.poll("n1", response_ms=2 * MAX_TRANSIT_DELAY_MS)
     assert exchange.relay.board.evidence("a", exchange.now) is None
     exchange.poll("n1")  # repeats the clock of the late response: rejected by the sender, too
     exchange.poll("n1")
@@ -322,8 +324,8 @@
 def test_a_restarted_sender_gets_all_evidence_and_its_earlier_incarnation_no_longer_counts():
     exchange = SignalExchange("n1", "n2", "n3")
     exchange.rounds()
-    exchange.senders["n1"].observed("a", FAILED, 0.0)
-    exchange.senders["n3"].observed("a", FAILED, 0.0)
+    exchange.senders["n1"].record_observation("a", FAILED, 0.0)
+    exchange.senders["n3"].record_observation("a", FAILED, 0.0)
     exchange.rounds()
     assert exchange.relay.board.evidence("a", exchange.now).failed_by == 2
     exchange.now += 50.0
@@ -339,18 +341,18 @@
 def test_a_sender_that_answers_under_another_name_or_without_signals_is_left_out():
     exchange = SignalExchange("n1", "n2")
     exchange.rounds()
-    exchange.senders["n1"].observed("a", FAILED, 0.0)
+    exchange.senders["n1"].record_observation("a", FAILED, 0.0)
     exchange.poll("n1", answers_as="n9")
     assert exchange.relay.question("n1", exchange.now) is None
     assert exchange.relay.board.evidence("a", exchange.now) is None
-    inactive = Signalling(Signals(), "w", lambda: exchange.now, print)
-    assert inactive.answer(b"") == b"" and inactive.answer(b"spoilt") == b""
+    inactive = SignalParticipant(SignalSettings(), "w", lambda: exchange.now, print)
+    assert inactive.respond(b"") == b"" and inactive.respond(b"spoilt") == b""
 
 
 def test_a_request_that_cannot_be_decoded_changes_nothing():
     exchange = SignalExchange("n1")
     exchange.rounds()
     exchange.now += 60_000.0
-    assert model.decode_batch(exchange.senders["n1"].answer(b"spoilt")).heard is False
-    assert not exchange.senders["n1"].live()
-    assert ("signals_refused", 1) in exchange.senders["n1"].figures()
+    assert model.decode_batch(exchange.senders["n1"].respond(b"spoilt")).request_accepted is False
+    assert not exchange.senders["n1"].is_live()
+    assert ("signals_refused", 1) in exchange.senders["n1"].metrics()
--- a/tests/test_signals_rig.py
+++ b/tests/test_signals_rig.py
@@ -293,7 +293,7 @@
 
 
 def started_virtual_rig(seed, **options):
-    signals = fleet_settings.Signals(quiet_s=1.5)
+    signals = fleet_settings.SignalSettings(quiet_s=1.5)
     merged = {"senders": 4, "keepers": 2, "endpoints": 1, "destinations": 1, "signals": signals, **options}
     rig = VirtualRig(seed, **merged)
     rig.start()
