--- a/birchstack/fleet/audit_files.py
+++ b/birchstack/fleet/audit_files.py
@@ -121,10 +121,8 @@
             say(log, "audit segment unreadable", logging.ERROR, file=name, problem=problem)
             return
         first = int(name.rpartition("-")[2])
-        if (
-            trail.compacted and first <= trail.compacted.last
-        ):  # left by a process that ended before removing it
-            self._unlink(name)
+        if trail.compacted and first <= trail.compacted.last:
+            self._unlink(name)  # left by a process that ended before it removed the compacted segment
             return
         trail.begin_segment(first)
         corrupted = torn = False
--- a/birchstack/fleet/audit_log.py
+++ b/birchstack/fleet/audit_log.py
@@ -93,7 +93,10 @@
     # Called by the sender
 
     def begins(self, holds: bool) -> None:
-        """Record the start of the process once it holds the folder, and adopt the program's versions."""
+        """Record the start of the process if it holds the folder, and adopt the program's versions.
+
+        Called again when a process that waited for the folder gets it.
+        """
         if holds:
             self._files = AuditFiles(self._folder, self._settings.trail.bytes, self._machine.unique)
             now, wall = self._machine.steady_ms(), self._machine.wall_ms()
--- a/birchstack/fleet/lag.py
+++ b/birchstack/fleet/lag.py
@@ -32,9 +32,9 @@
 class LagThresholds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Thresholds of the verdicts.
 
-    behind_ms: time that a new list may take to a sender. silent_ms: time that a response may take. flap_ms:
-    window in which falls from up to date to behind are counted. max_share: share of the fleet beyond which
-    the cause is not sought in individual senders.
+    behind_ms: time that a new list may take to reach a sender. silent_ms: time that a response may take.
+    flap_ms: time window in which transitions from up to date to behind are counted. max_share: share of the
+    fleet above which the cause is not attributed to individual senders.
     """
 
     behind_ms: float = 10_000.0
