--- a/birchstack/signals/model.py
+++ b/birchstack/signals/model.py
@@ -22,9 +22,7 @@
 
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
 Count = Annotated[int, Meta(ge=0, le=1 << 53)]
-Cursor = tuple[
-    Count, Count, Count
-]  # cursor: last sequence number received of each signal kind, in kind order
+Cursor = tuple[Count, Count, Count]  # last sequence number received of each signal kind, in kind order
 
 
 class SignalError(ValueError):
