--- a/birchstack/signals/board.py
+++ b/birchstack/signals/board.py
@@ -1,7 +1,7 @@
 """A collector's merged view of the endpoint signals of all senders.
 
 Pure. Merging is commutative and idempotent: for each endpoint and kind the newest observation of an observer
-counts, up to the newest MOST_OBSERVERS observers. Memory is bounded by the number of endpoints named in
+counts, up to the newest MAX_OBSERVERS observers. Memory is bounded by the number of endpoints named in
 signals, not by senders times endpoints. Observations expire by age; those of an earlier incarnation of their
 observer no longer count once a later incarnation is known. Times are in milliseconds, by the steady clock of
 this process.
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from birchstack.interface import MOST_OBSERVERS, SignalKind
+from birchstack.interface import MAX_OBSERVERS, SignalKind
 from birchstack.signals.model import SIGNAL_LIFETIME_MS, Cursor, Evidence, Signal, SignalBatch, encode
 from birchstack.signals.news import ChangeIndex
 
@@ -113,7 +113,7 @@
         if previous and previous.incarnation == incarnation and previous.sequence >= signal.sequence:
             return False
         by_observer[observer] = observation
-        if len(by_observer) > MOST_OBSERVERS:
+        if len(by_observer) > MAX_OBSERVERS:
             del by_observer[
                 min(
                     by_observer,
--- a/birchstack/signals/model.py
+++ b/birchstack/signals/model.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from birchstack.interface import MOST_OBSERVERS, Report, SignalKind
+from birchstack.interface import MAX_OBSERVERS, Report, SignalKind
 
 PROTOCOL_VERSION = 1
 MAX_WAIT_MS = 600_000  # longer waits are passed on as this
@@ -61,7 +61,7 @@
     """What a collector knows of one endpoint, as in interface.Report. served_ms: -1 if no call was served."""
 
     endpoint: Name
-    failed_by: Annotated[int, Meta(ge=0, le=MOST_OBSERVERS)] = 0
+    failed_by: Annotated[int, Meta(ge=0, le=MAX_OBSERVERS)] = 0
     first_ms: Count = 0
     last_ms: Count = 0
     served_ms: Annotated[int, Meta(ge=-1, le=1 << 53)] = -1
