--- a/tests/test_signals_rig.py
+++ b/tests/test_signals_rig.py
@@ -12,7 +12,7 @@
 from birchstack.fleet import settings as fleet_settings
 
 SIGNALS_ON = site.FLEET + "[signals]\nquiet_s = 1.5\n"
-FAILED_BY_REPORT = "last told"  # logged for an endpoint avoided on other senders' reports alone
+FAILED_BY_REPORT = "last told"  # logged for an endpoint ejected on other senders' reports alone
 SIGNALS_ARRIVE = 'event="signals of other senders come"'
 SIGNALS_CEASED = 'event="no signals of other senders come"'
 
@@ -46,8 +46,8 @@
     await logged(rig, rig.senders, SIGNALS_ARRIVE)
 
 
-def avoiding_on_reports(rig):
-    """The senders that avoided an endpoint on other senders' reports alone."""
+def ejected_on_reports(rig):
+    """The senders that ejected an endpoint on other senders' reports alone."""
     return {name for name in rig.senders if FAILED_BY_REPORT in rig[name].text()}
 
 
@@ -90,7 +90,7 @@
         for name in ("n1", "n2", "n3"):
             await logged(rig, [name], "endpoint ill")
         await asyncio.sleep(1.0)
-        assert not avoiding_on_reports(rig) and not any(
+        assert not ejected_on_reports(rig) and not any(
             SIGNALS_ARRIVE in rig[name].text() for name in rig.senders
         )
 
@@ -142,7 +142,7 @@
         rig.load(40, senders=["n1", "n2", "n3"])
         await logged(rig, ["n1", "n2", "n3"], "endpoint ill")
         await asyncio.sleep(0.5)
-        assert not avoiding_on_reports(rig) and await metric(rig, "n4", "signals_live") == 0
+        assert not ejected_on_reports(rig) and await metric(rig, "n4", "signals_live") == 0
         await rig["k2"].start("event=keeping")
         await logged(rig, rig.senders, SIGNALS_ARRIVE, 2)
         await logged(rig, ["n4"], FAILED_BY_REPORT)
@@ -177,7 +177,7 @@
         rig.endpoints.status["e1"] = 500
         rig.load(40, senders=["n1", "n2"])
         await logged(rig, ["n3"], FAILED_BY_REPORT)
-        assert "n4" not in avoiding_on_reports(rig)
+        assert "n4" not in ejected_on_reports(rig)
         for keeper in rig.keepers:
             rig.link(keeper, "n4:ops").open()
         await logged(rig, ["n4"], FAILED_BY_REPORT)
@@ -198,12 +198,12 @@
         await asyncio.sleep(1.2)  # until each of them is older than a second
         rig["n4"].go()
         await logged(rig, ["n4"], SIGNALS_CEASED)
-        assert "n4" not in avoiding_on_reports(rig) and await metric(rig, "n4", "signals_refused") > 0
+        assert "n4" not in ejected_on_reports(rig) and await metric(rig, "n4", "signals_refused") > 0
 
     run_scenario(tmp_path, scenario)
 
 
-def test_a_sender_whose_own_network_is_broken_does_not_make_others_avoid_endpoints(tmp_path):
+def test_a_sender_whose_own_network_is_broken_does_not_make_others_eject_endpoints(tmp_path):
     async def scenario(rig):
         await signals_arrive(rig)
         for uid in rig.uids:
@@ -215,7 +215,7 @@
         cut_ms = rig.stage.now_ms()
         await asyncio.sleep(2.0)
         assert await metric(rig, "n1", "signals_noted") > 0
-        assert await metric(rig, "n4", "signals_reports") > 0 and not avoiding_on_reports(rig)
+        assert await metric(rig, "n4", "signals_reports") > 0 and not ejected_on_reports(rig)
         for name in ("n2", "n3"):
             assert {each.endpoint for each in calls_from(rig, name, cut_ms)} == {"e1", "e2"}
 
@@ -234,7 +234,7 @@
             await rig["n1"].kill()
             await rig["n1"].start()
         await asyncio.sleep(0.5)
-        assert await metric(rig, "n4", "signals_reports") > 0 and not avoiding_on_reports(rig)
+        assert await metric(rig, "n4", "signals_reports") > 0 and not ejected_on_reports(rig)
 
     run_scenario(tmp_path, scenario)
 
@@ -284,7 +284,7 @@
             10.0,
             "all call it again",
         )
-        assert avoiding_on_reports(rig)
+        assert ejected_on_reports(rig)
 
     run_scenario(tmp_path, scenario)
 
@@ -301,8 +301,8 @@
     return rig
 
 
-def avoids_an_endpoint(rig, name):
-    return bool(rig[name].node._core.avoided())
+def has_ejected_endpoint(rig, name):
+    return bool(rig[name].node._core.ejected_endpoints())
 
 
 def hand_in(rig, names, count, every_ms=50.0):
@@ -319,12 +319,12 @@
     rig.endpoints.status["e1"] = 500
     hand_in(rig, ["n1", "n2", "n3"], 60)
     rig.run(3.0)
-    assert avoids_an_endpoint(rig, "n4") and not any(each.sender == "n4" for each in rig.endpoints.calls)
+    assert has_ejected_endpoint(rig, "n4") and not any(each.sender == "n4" for each in rig.endpoints.calls)
     rig["n4"].stepped_ms = -3.6e6
     rig.endpoints.status.clear()
     hand_in(rig, ["n1", "n2", "n3"], 60)
     rig.run(4.0)
-    assert not avoids_an_endpoint(rig, "n4")
+    assert not has_ejected_endpoint(rig, "n4")
 
 
 def test_senders_suspended_for_a_minute_send_no_expired_signals():
@@ -335,7 +335,7 @@
             rig.link(keeper, f"{name}:ops").cut()
     hand_in(rig, ["n1", "n2", "n3"], 60)
     rig.run(3.4)
-    assert all(avoids_an_endpoint(rig, name) for name in ("n1", "n2", "n3")) and not avoids_an_endpoint(
+    assert all(has_ejected_endpoint(rig, name) for name in ("n1", "n2", "n3")) and not has_ejected_endpoint(
         rig, "n4"
     )
     for name in ("n1", "n2", "n3"):
@@ -348,5 +348,5 @@
     for name in ("n1", "n2", "n3"):
         rig[name].stand(False)
     rig.run(5.0)
-    assert not avoids_an_endpoint(rig, "n4")
+    assert not has_ejected_endpoint(rig, "n4")
     assert rig["n4"].node._core._endpoints["e1"].others_failed_at < 0.0, "no report of a failure arrived"
