--- a/birchstack/keeper/relay.py
+++ b/birchstack/keeper/relay.py
@@ -1,7 +1,8 @@
-"""Passes the senders' signals on: what each answer brings is merged, the next question takes the rest along.
+"""Relays signals between senders: merges those in each answer and sends them on in the next questions.
 
-Owns what each door was told and what was taken there. Must never open a socket, read a clock or decide about
-an endpoint. Only doors that offer signals are asked for them. Times are steady, in milliseconds.
+Owns what was delivered to each sender and what was received from it. Must not open a socket, read a clock or
+make decisions about an endpoint. Only senders that offer signals are asked for them. Times are steady-clock
+milliseconds.
 """
 
 from __future__ import annotations
@@ -20,71 +21,85 @@
 
 
 @dataclass(slots=True)
-class Reader:
-    """One process behind a door. told: the news that it was told of; asked: those under way to it."""
+class SenderState:
+    """Relay state of one sender process.
 
-    life: str
-    clock_ms: float = 0.0
-    came_ms: float = 0.0
-    taken: Cursor = START_CURSOR
-    told: Cursor = START_CURSOR
-    asked: Cursor = START_CURSOR
+    process: identifier of the process, new with each start.
+    sender_clock_ms: the sender's steady clock in its last answer.
+    answered_ms: when that answer arrived, by the steady clock of this process.
+    received: the last sequences received from it.
+    delivered: the sequences up to which evidence was delivered to it.
+    pending: the same for the evidence of the question in flight.
+    """
+
+    process: str
+    sender_clock_ms: float = 0.0
+    answered_ms: float = 0.0
+    received: Cursor = START_CURSOR
+    delivered: Cursor = START_CURSOR
+    pending: Cursor = START_CURSOR
 
 
 class Relay:
-    """room: bytes of evidence in one question."""
+    """Exchanges signals with all senders of one collector."""
 
-    def __init__(self, room: int) -> None:
-        self._room = room
+    def __init__(self, max_evidence_bytes: int) -> None:
+        """max_evidence_bytes: maximum size in bytes of the evidence in one question."""
+        self._max_evidence_bytes = max_evidence_bytes
         self.board = SignalTable()
-        self._readers: dict[str, Reader] = {}
+        self._senders: dict[str, SenderState] = {}
         self.counts = {"signals": 0, "signals_refused": 0}
 
-    def question(self, door: str, now_ms: float) -> bytes | None:
-        """What to ask a door with; None where it takes no part."""
-        reader = self._readers.get(door)
-        if reader is None:
+    def question(self, address: str, now_ms: float) -> bytes | None:
+        """Returns the encoded question for an address; None where the sender does not take part."""
+        state = self._senders.get(address)
+        if state is None:
             return None
-        evidence, reader.asked = self.board.changes_since(reader.told, now_ms, self._room)
+        evidence, state.pending = self.board.changes_since(state.delivered, now_ms, self._max_evidence_bytes)
         return model.encode(
             SignalRequest(
                 model.PROTOCOL_VERSION,
-                reader.taken,
-                reader.life,
-                reader.clock_ms,
-                now_ms - reader.came_ms,
+                state.received,
+                state.process,
+                state.sender_clock_ms,
+                now_ms - state.answered_ms,
                 evidence,
             )
         )
 
-    def answered(
-        self, door: str, sender: str, piece: wire.TrailResponse, asked_ms: float, now_ms: float
+    def handle_answer(
+        self, address: str, sender: str, answer: wire.TrailResponse, asked_ms: float, now_ms: float
     ) -> None:
-        """sender: whom the door belongs to. What was long on its way, or not readable, is asked for again."""
-        if piece.name != sender or not piece.signals:
-            self._readers.pop(door, None)
+        """Merges the signals of an answer.
+
+        sender: the configured owner of the address; an answer under another name is ignored. Signals that
+        were too long in transit or cannot be decoded are not acknowledged, so the sender repeats them.
+        """
+        if answer.name != sender or not answer.signals:
+            self._senders.pop(address, None)
             return
-        reader = self._readers.get(door)
-        if reader is None or reader.life != piece.process:
-            reader = self._readers[door] = Reader(piece.process)
-        reader.clock_ms, reader.came_ms = piece.steady_ms, now_ms
+        state = self._senders.get(address)
+        if state is None or state.process != answer.process:
+            state = self._senders[address] = SenderState(answer.process)
+        state.sender_clock_ms = answer.steady_ms
+        state.answered_ms = now_ms
         if now_ms - asked_ms > MAX_TRANSIT_DELAY_MS:
             return
         try:
-            batch = model.decode_batch(piece.signals)
+            batch = model.decode_batch(answer.signals)
         except model.SignalError as problem:
             self.counts["signals_refused"] += 1
             if self.counts["signals_refused"] == 1:
                 say(log, "signals not readable", logging.WARNING, sender=sender, problem=problem)
             return
         if batch.request_accepted:
-            reader.told = reader.asked
+            state.delivered = state.pending
         self.counts["signals"] += self.board.merge(sender, batch, now_ms)
-        reader.taken = _taken(reader.taken, batch)
+        state.received = _latest(state.received, batch)
 
 
-def _taken(before: Cursor, batch: SignalBatch) -> Cursor:
-    """The last sequence of each kind that was had."""
+def _latest(before: Cursor, batch: SignalBatch) -> Cursor:
+    """Returns the highest sequence received of each kind."""
     last = [*before]
     for signal in batch.signals:
         last[signal.kind - 1] = max(last[signal.kind - 1], signal.sequence)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -8,7 +8,7 @@
 from birchstack.fleet.settings import SignalSettings
 from birchstack.fleet.signalling import SignalParticipant
 from birchstack.interface import MAX_OBSERVERS, SignalKind
-from birchstack.keeper.config import Asks
+from birchstack.keeper.config import PollConfig
 from birchstack.keeper.relay import Relay
 from birchstack.signals import board as boards
 from birchstack.signals import model
@@ -247,7 +247,7 @@
     """One keeper's relay and some senders, with a clock set by the test."""
 
     def __init__(self, *names):
-        self.now, self.relay = 0.0, Relay(Asks().signal_bytes)
+        self.now, self.relay = 0.0, Relay(PollConfig().signal_bytes)
         self.reports = {name: [] for name in names}
         self.senders = {name: self.start_sender(name) for name in names}
 
@@ -273,7 +273,7 @@
         )
         self.now += response_ms
         if not lost:
-            self.relay.answered(name, name, response, sent_ms, self.now)
+            self.relay.handle_answer(name, name, response, sent_ms, self.now)
 
     def rounds(self, count=2):
         for _ in range(count):
