--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -29,7 +29,7 @@
     except ModuleNotFoundError as problem:
         raise ConfigError(f"BALANCER_FLEET: {problem.name} is missing (the extra `fleet`)") from problem
     fleet = settings.load(path)
-    return settings.room_for(fleet, config), audit_log.maker(fleet)
+    return settings.reserve_trail_space(fleet, config), audit_log.audit_log_factory(fleet)
 
 
 def _store(config: Config) -> tuple[Config, StoreFactory | None]:
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from birchstack.fleet import lag, wire
-from birchstack.fleet.versions import FIRST, LIST, SAME, Contents, Version, compare
+from birchstack.fleet.versions import FIRST, LIST, SAME, ListContents, Version, compare
 from birchstack.keeper.asking import PollRequest
 from birchstack.keeper.collect import PollSchedule
 from birchstack.keeper.config import CollectorConfig
@@ -66,8 +66,8 @@
         self._watch: Watch | None = None
         self._latest_list: Version | None = None  # the list version stored last, and its endpoints' states
         self._latest_states: dict[str, str] = {}
-        self._contents = Contents()
-        self._turns = lag.Turns()
+        self._contents = ListContents()
+        self._turns = lag.FlapHistory()
         self._verdicts = {}
         self._started_ms = clock.ms()
         self.finished = loop.create_future()
@@ -134,7 +134,9 @@
             self._poll_timer.cancel()
         self._poll_timer = self._loop.call_later(max(0.001, due - now), self._poll)
 
-    def _on_answer(self, audit_address: str, answer: wire.Piece | None, sent_at: float, problem: str) -> None:
+    def _on_answer(
+        self, audit_address: str, answer: wire.TrailResponse | None, sent_at: float, problem: str
+    ) -> None:
         """Stores the answer of a poll, or records its failure, and goes on polling."""
         self._polls.pop(audit_address, None)
         now = self._loop.time()
@@ -209,30 +211,32 @@
             return
         self._loop.call_later(VERDICT_INTERVAL_S, self._update_verdicts)
         now = self._clock.ms()
-        bounds = lag.Bounds(
-            self._config.lists.behind_s * 1000.0 if self._config.lists else lag.Bounds.behind_ms,
+        bounds = lag.LagThresholds(
+            self._config.lists.behind_s * 1000.0 if self._config.lists else lag.LagThresholds.behind_ms,
             self._config.asks.silent_s * 1000.0,
         )
         if now - self._started_ms < bounds.silent_ms:
             return  # too early to tell a silent sender from one that was not polled yet
         list_heard_ms = now - self._watch.silent_ms() if self._watch else None
         versions = tuple((Version(LIST, *fields), at_ms) for *fields, at_ms in self._store.recent_versions())
-        view = lag.judge(self._sightings(), lag.Given(versions, list_heard_ms), now, bounds, self._turns)
+        view = lag.judge(
+            self._sightings(), lag.PublishedLists(versions, list_heard_ms), now, bounds, self._turns
+        )
         verdicts = {"": (view.fleet, view.evidence, 0.0)}
         verdicts.update(
             (verdict.sender, (verdict.what, verdict.evidence, verdict.since_ms)) for verdict in view.verdicts
         )
         for sender, (what, evidence, since_ms) in verdicts.items():
-            if self._verdicts.get(sender, lag.WELL) != what:
+            if self._verdicts.get(sender, lag.HEALTHY) != what:
                 self._store.add_verdict(sender, what, evidence, since_ms, now)
                 log_event(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
                 self._schedule_commit()
             self._verdicts[sender] = what
 
-    def _sightings(self) -> list[lag.Sighting]:
+    def _sightings(self) -> list[lag.SenderSnapshot]:
         """Returns for each configured sender the latest answer of a process that holds the folder."""
-        latest: dict[str, lag.Sighting] = {
-            name: lag.Sighting(name, None) for name in self._sender_names.values()
+        latest: dict[str, lag.SenderSnapshot] = {
+            name: lag.SenderSnapshot(name, None) for name in self._sender_names.values()
         }
         for audit_address, _, answered_ms, encoded in self._store.last_answers():
             name = self._sender_names.get(audit_address)
@@ -241,7 +245,9 @@
             answer = wire.decode(encoded)
             previous_ms = latest[name].answered_ms
             if answer.holds and (previous_ms is None or answered_ms > previous_ms):
-                latest[name] = lag.Sighting(name, answered_ms, answer.versions.get(LIST), answer.heard_ms)
+                latest[name] = lag.SenderSnapshot(
+                    name, answered_ms, answer.versions.get(LIST), answer.heard_ms
+                )
         return [*latest.values()]
 
     # List service
--- a/birchstack/keeper/questions.py
+++ b/birchstack/keeper/questions.py
@@ -527,7 +527,7 @@
     def stragglers(self) -> list[Verdict]:
         """Returns the current verdicts other than "well", with one on the whole fleet first."""
         latest = {verdict.sender: verdict for verdict in self.verdicts()}
-        return sorted(verdict for verdict in latest.values() if verdict.what != lag.WELL)
+        return sorted(verdict for verdict in latest.values() if verdict.what != lag.HEALTHY)
 
     def timeline(self, from_ms: float = 0.0, to_ms: float | None = None) -> list[TimelineEvent]:
         """Returns all events between two times, oldest first."""
--- a/birchstack/keeper/relay.py
+++ b/birchstack/keeper/relay.py
@@ -13,9 +13,9 @@
 from birchstack.fleet import wire
 from birchstack.net.log import log_event
 from birchstack.signals import model
-from birchstack.signals.board import START, Board
-from birchstack.signals.echo import MOST_DELAY_MS
-from birchstack.signals.model import Question, Sequences, SignalBatch
+from birchstack.signals.board import START_CURSOR, SignalTable
+from birchstack.signals.echo import MAX_TRANSIT_DELAY_MS
+from birchstack.signals.model import Cursor, SignalBatch, SignalRequest
 
 log = logging.getLogger(__name__)
 
@@ -35,9 +35,9 @@
     process: str
     sender_clock_ms: float = 0.0
     answered_ms: float = 0.0
-    received: Sequences = START
-    delivered: Sequences = START
-    pending: Sequences = START
+    received: Cursor = START_CURSOR
+    delivered: Cursor = START_CURSOR
+    pending: Cursor = START_CURSOR
 
 
 class Relay:
@@ -46,7 +46,7 @@
     def __init__(self, max_evidence_bytes: int) -> None:
         """max_evidence_bytes: maximum size in bytes of the evidence in one question."""
         self._max_evidence_bytes = max_evidence_bytes
-        self.board = Board()
+        self.board = SignalTable()
         self._senders: dict[str, SenderState] = {}
         self.counts = {"signals": 0, "signals_refused": 0}
 
@@ -55,10 +55,10 @@
         state = self._senders.get(address)
         if state is None:
             return None
-        evidence, state.pending = self.board.news(state.delivered, now_ms, self._max_evidence_bytes)
+        evidence, state.pending = self.board.changes_since(state.delivered, now_ms, self._max_evidence_bytes)
         return model.encode(
-            Question(
-                model.VERSION,
+            SignalRequest(
+                model.PROTOCOL_VERSION,
                 state.received,
                 state.process,
                 state.sender_clock_ms,
@@ -68,7 +68,7 @@
         )
 
     def handle_answer(
-        self, address: str, sender: str, answer: wire.Piece, asked_ms: float, now_ms: float
+        self, address: str, sender: str, answer: wire.TrailResponse, asked_ms: float, now_ms: float
     ) -> None:
         """Merges the signals of an answer.
 
@@ -83,7 +83,7 @@
             state = self._senders[address] = SenderState(answer.process)
         state.sender_clock_ms = answer.steady_ms
         state.answered_ms = now_ms
-        if now_ms - asked_ms > MOST_DELAY_MS:
+        if now_ms - asked_ms > MAX_TRANSIT_DELAY_MS:
             return
         try:
             batch = model.decode_batch(answer.signals)
@@ -92,13 +92,13 @@
             if self.counts["signals_refused"] == 1:
                 log_event(log, "signals not readable", logging.WARNING, sender=sender, problem=problem)
             return
-        if batch.heard:
+        if batch.request_accepted:
             state.delivered = state.pending
         self.counts["signals"] += self.board.merge(sender, batch, now_ms)
         state.received = _latest(state.received, batch)
 
 
-def _latest(before: Sequences, batch: SignalBatch) -> Sequences:
+def _latest(before: Cursor, batch: SignalBatch) -> Cursor:
     """Returns the highest sequence received of each kind."""
     last = [*before]
     for signal in batch.signals:
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -71,22 +71,22 @@
 
 @mutant("a number is used twice")
 def _(patch):
-    original = trail.Trail.frame
+    original = trail.AuditTrail.encode_frame
 
     def frame(self, record):
         if self.last % 40 == 39:
-            return records.frame(self.last, self.chain, record)
+            return records.encode_frame(self.last, self.chain, record)
         return original(self, record)
 
-    patch.set(trail.Trail, "frame", frame)
+    patch.set(trail.AuditTrail, "encode_frame", frame)
 
 
 @mutant("a gap is hidden")
 def _(patch):
-    original = audit_files.AuditFiles._keep
+    original = audit_files.AuditFiles._store
     patch.set(
         audit_files.AuditFiles,
-        "_keep",
+        "_store",
         lambda self, record: True if isinstance(record, records.Gap) else original(self, record),
     )
 
@@ -107,7 +107,7 @@
     def add(self, more):
         self.tallies, self.to_ms = more.tallies, more.to_ms
 
-    patch.set(trail.Sums, "add", add)
+    patch.set(trail.StretchAccumulator, "add_part", add)
 
 
 @mutant("folded records are stored without a gap", ("keeper cut", "keeper killed"), True)
@@ -139,7 +139,7 @@
     original_write = audit_files.AuditFiles.write
 
     def write(self, record, now_ms):
-        self._doubtful.clear()
+        self._recovered_gaps.clear()
         return original_write(self, record, now_ms)
 
     patch.set(audit_files.AuditFiles, "write", write)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -323,7 +323,7 @@
         notices = Notices(loop, server.sockets[0].getsockname(), known.extend)
         async with asyncio.timeout(8.0):
             await story(notices, posts, known)
-        notices._hang_up()
+        notices._disconnect()
         server.close()
 
     asyncio.run(whole())
@@ -336,7 +336,7 @@
         notices.queue("d1", "dead", 0.0)  # on the connection that has fallen silent
         await until(lambda: known == ["d0", "d1"])
         assert len(posts) == 3 and posts[2][0] - posts[1][0] < 0.25  # within the 300 ms that the notice has
-        assert notices._answer_s < 0.2  # the time-out shrinks again once the platform answers
+        assert notices._answer_timeout_s < 0.2  # the time-out shrinks again once the platform answers
 
     run_notices(story, lambda writer, times: times == 2 or writer.write(b"HTTP/1.1 204 No\r\n\r\n"))
 
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -7,7 +7,7 @@
 
 from birchstack.cli import main
 from birchstack.fleet import wire
-from birchstack.fleet.records import START, Acted, Adopted, Life, frame
+from birchstack.fleet.records import INITIAL_CHAIN, ProcessStart, TurnActions, VersionAdopted, encode_frame
 from birchstack.fleet.versions import LIST, Version
 from birchstack.keeper.config import ConfigError, decode
 from birchstack.keeper.store import Store
@@ -21,12 +21,12 @@
 
 def piece(records, name="n1", trail="t1", after=0, now=100.0, **fields):
     """Returns a sender's answer with the records beyond number `after`."""
-    chain = START
+    chain = INITIAL_CHAIN
     frames = []
     for number, record in enumerate(records, 1):
-        data, chain = frame(number, chain, record)
+        data, chain = encode_frame(number, chain, record)
         frames.append(data if number > after else b"")
-    return wire.Piece(
+    return wire.TrailResponse(
         name=name,
         process="p1",
         boot="b",
@@ -43,10 +43,10 @@
 
 
 RECORDS = [
-    Life("l1", "n1", "b", 1000.0, 1.0),
-    Adopted(version(1), "first", "x", 1001.0, 2.0),
-    Acted(10.0, ("d1", "e1", "d2", "e2")),
-    Acted(30.0, ("d3", "e1"), 2, ("d9",)),
+    ProcessStart("l1", "n1", "b", 1000.0, 1.0),
+    VersionAdopted(version(1), "first", "x", 1001.0, 2.0),
+    TurnActions(10.0, ("d1", "e1", "d2", "e2")),
+    TurnActions(30.0, ("d3", "e1"), 2, ("d9",)),
 ]
 
 
@@ -148,7 +148,10 @@
         store.cursors["a:1"].next_number = 1  # reads the same records again
         store.cursors["a:1"].restart(rescanning=False)
     assert store.commit() and store.db.execute("SELECT count(*) FROM call").fetchone() == (4,)
-    too_many = [*RECORDS, *(Acted(100.0 + index, (f"document-{index}", "e1")) for index in range(20000))]
+    too_many = [
+        *RECORDS,
+        *(TurnActions(100.0 + index, (f"document-{index}", "e1")) for index in range(20000)),
+    ]
     full = False
     try:
         store.store_answer("a:1", piece(too_many, now=1e6), 1e6, 1.0)
@@ -159,20 +162,25 @@
     assert full, "these records exceed the limit of one megabyte"
     assert store.db.execute("SELECT count(*) FROM call").fetchone() == (4,), "the transaction is atomic"
     assert store.resume_after("a:1") <= 4, "records that were not committed are polled again"
-    store.store_answer("a:1", piece([*RECORDS, Acted(50.0, ("d5", "e2"))]), 200.0, 1.0)
+    store.store_answer("a:1", piece([*RECORDS, TurnActions(50.0, ("d5", "e2"))]), 200.0, 1.0)
     assert store.commit() and store.db.execute("SELECT count(*) FROM call").fetchone() == (5,)
 
 
 def test_a_record_altered_after_it_was_stored_and_undecodable_bytes_are_findings(tmp_path):
     store = Store(str(tmp_path / "s.sqlite"))
     store.store_answer("a:1", piece(RECORDS), 100.0, 1.0)
-    forged = [*RECORDS[:2], Acted(10.0, ("forged", "e1")), *RECORDS[3:], Acted(40.0, ("d4", "e1"))]
+    forged = [
+        *RECORDS[:2],
+        TurnActions(10.0, ("forged", "e1")),
+        *RECORDS[3:],
+        TurnActions(40.0, ("d4", "e1")),
+    ]
     answer = piece(forged, after=4)
     assert store.store_answer("a:1", answer, 200.0, 1.0), (
         "the chain does not match: the trail is read from its start"
     )
     store.store_answer("a:1", piece(forged), 200.0, 1.0)
-    undecodable = wire.Piece(
+    undecodable = wire.TrailResponse(
         name="n2",
         process="p",
         boot="b",
