--- a/benchmarks/capacity/turn.py
+++ b/benchmarks/capacity/turn.py
@@ -333,7 +333,7 @@
     told = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(text), text)
     watch = node._watch
     watch._reader = http1.ResponseReader(max_body=None)
-    watch._held = CountedBytes() if work.Counted.on else bytearray()
+    watch._buffer = CountedBytes() if work.Counted.on else bytearray()
 
     def act() -> None:
         for at in range(0, len(told), block):
--- a/benchmarks/restart_ready.py
+++ b/benchmarks/restart_ready.py
@@ -297,8 +297,8 @@
     from birchstack.net import config, discovery, front, ledger, machine, sender
 
     imported = time.process_time()
-    ledger.Ledger._load = clock("bodies read", ledger.Ledger._load)
-    ledger.Ledger._clear = clock("other files looked for", ledger.Ledger._clear)
+    ledger.Ledger._load_body = clock("bodies read", ledger.Ledger._load_body)
+    ledger.Ledger._remove_stray_files = clock("other files looked for", ledger.Ledger._remove_stray_files)
     ledger.LedgerReplay.__init__ = clock("lines replayed", ledger.LedgerReplay.__init__)
     ledger.Ledger.__init__ = clock("ledger in all", ledger.Ledger.__init__)
     discovery.Watch.wait_for_first = clock("first list", discovery.Watch.wait_for_first, waits=True)
--- a/birchstack/fleet/audit_log.py
+++ b/birchstack/fleet/audit_log.py
@@ -92,12 +92,12 @@
 
     # Called by the sender
 
-    def start(self, holds: bool) -> None:
+    def start(self, holds_folder: bool) -> None:
         """Record the start of the process if it holds the folder, and adopt the program's versions.
 
         Called again when a process that waited for the folder gets it.
         """
-        if holds:
+        if holds_folder:
             self._files = AuditFiles(self._folder, self._settings.trail.bytes, self._machine.unique_name)
             now, wall = self._machine.steady_ms(), self._machine.wall_ms()
             self._files.write(ProcessStart(self._process, self._config.name, self._boot, wall, now), now)
--- a/tests/test_capacity_sender.py
+++ b/tests/test_capacity_sender.py
@@ -130,9 +130,9 @@
 def test_a_line_of_the_list_has_no_room_for_what_the_target_lists_but_in_parts_it_goes():
     def heard(lines):
         node = turn.Whole().node
-        node._watch._listed = lambda mode, listed: got.extend(listed)
+        node._watch._on_list = lambda mode, listed: got.extend(listed)
         got, broke = [], []
-        node._watch._again = lambda: broke.append(True)
+        node._watch._retry = lambda: broke.append(True)
         told = b"".join(b"%x\r\n%s\r\n" % (len(line), line) for line in lines)
         whole = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + told
         for at in range(0, len(whole), 65536):
