--- a/birchstack/keeper/__main__.py
+++ b/birchstack/keeper/__main__.py
@@ -17,7 +17,7 @@
     try:
         config = load(path)
         signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
-        log.start()
+        log.configure()
         asyncio.run(run_collector(config, Machine(), str(Path(config.store).absolute().parent)))
     except (ConfigError, StoreError) as problem:
         print(f"birchstack: keeper: {problem}", file=sys.stderr)
--- a/birchstack/keeper/asking.py
+++ b/birchstack/keeper/asking.py
@@ -14,7 +14,7 @@
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
 
-MAX_BODY_BYTES = 2 * wire.MOST
+MAX_BODY_BYTES = 2 * wire.MAX_FRAMES_BYTES
 
 
 class PollRequest:
@@ -33,7 +33,7 @@
         after: int,
         question: bytes | None,
         timeout_s: float,
-        on_result: Callable[[wire.Piece | None, float, str], None],
+        on_result: Callable[[wire.TrailResponse | None, float, str], None],
     ) -> None:
         self._loop = loop
         self._address = address
@@ -55,7 +55,7 @@
         self._sent_at = self._loop.time()
         method = "GET" if self._question is None else "POST"
         host = "{}:{}".format(*self._address)
-        link.write(http1.request(method, wire.target(self._after), host, body=self._question or b""))
+        link.write(http1.request(method, wire.request_target(self._after), host, body=self._question or b""))
 
     def received(self, data: memoryview) -> None:
         """Parses a part of the response; finishes when the response is complete or malformed."""
@@ -78,7 +78,7 @@
         """Finishes with a failure: the connection was closed before the response was complete."""
         self._finish(None, "connection lost")
 
-    def _finish(self, answer: wire.Piece | None, problem: str) -> None:
+    def _finish(self, answer: wire.TrailResponse | None, problem: str) -> None:
         if self._finished:
             return
         self._finished = True
--- a/birchstack/keeper/process.py
+++ b/birchstack/keeper/process.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from birchstack.fleet import lag, wire
-from birchstack.fleet.versions import FIRST, LIST, SAME, Contents, Version, compare
+from birchstack.fleet.versions import FIRST, LIST, SAME, ListContents, Version, compare
 from birchstack.keeper.asking import PollRequest
 from birchstack.keeper.collect import PollSchedule
 from birchstack.keeper.config import CollectorConfig
@@ -23,8 +23,8 @@
 from birchstack.keeper.store import Store
 from birchstack.net.discovery import Watch
 from birchstack.net.driver import parse_address
-from birchstack.net.log import say
-from birchstack.net.machine import LastingClock, Machine
+from birchstack.net.log import log_event
+from birchstack.net.machine import Machine, PersistentClock
 
 COMMIT_DELAY_S = 0.1  # answers that arrive within this time share one transaction
 WRITE_RETRY_S = 5.0  # no polls for this long after a failed write
@@ -42,7 +42,7 @@
         loop: asyncio.AbstractEventLoop,
         store: Store,
         machine: Machine,
-        clock: LastingClock,
+        clock: PersistentClock,
         rng: random.Random,
     ) -> None:
         self._config = config
@@ -66,8 +66,8 @@
         self._watch: Watch | None = None
         self._latest_list: Version | None = None  # the list version stored last, and its endpoints' states
         self._latest_states: dict[str, str] = {}
-        self._contents = Contents()
-        self._turns = lag.Turns()
+        self._contents = ListContents()
+        self._turns = lag.FlapHistory()
         self._verdicts = {}
         self._started_ms = clock.ms()
         self.finished = loop.create_future()
@@ -81,7 +81,7 @@
                 self._loop, parse_address(self._config.lists.at), (), lambda mode, listed: None, self._on_list
             )
             self._watch.start({})
-        say(
+        log_event(
             log,
             "keeping",
             name=self._config.name,
@@ -104,11 +104,11 @@
             if timer:
                 timer.cancel()
         self._commit()
-        say(log, "ended", **self._counts, **self._relay.counts)
+        log_event(log, "ended", **self._counts, **self._relay.counts)
         self.finished.set_result(None)
 
     def _log_counts(self) -> None:
-        say(log, "state", out=len(self._polls), **self._counts, **self._relay.counts)
+        log_event(log, "state", out=len(self._polls), **self._counts, **self._relay.counts)
         self._loop.call_later(LOG_INTERVAL_S, self._log_counts)
 
     # Polling
@@ -134,7 +134,9 @@
             self._poll_timer.cancel()
         self._poll_timer = self._loop.call_later(max(0.001, due - now), self._poll)
 
-    def _on_answer(self, audit_address: str, answer: wire.Piece | None, sent_at: float, problem: str) -> None:
+    def _on_answer(
+        self, audit_address: str, answer: wire.TrailResponse | None, sent_at: float, problem: str
+    ) -> None:
         """Stores the answer of a poll, or records its failure, and goes on polling."""
         self._polls.pop(audit_address, None)
         now = self._loop.time()
@@ -147,7 +149,7 @@
             )
         if answer is None:
             self._counts["failed"] += 1
-            log.debug("no answer", extra={"words": {"at": audit_address, "problem": problem}})
+            log.debug("no answer", extra={"fields": {"at": audit_address, "problem": problem}})
             self._schedule.failed(audit_address, now)
         else:
             self._counts["answered"] += 1
@@ -193,7 +195,7 @@
         self._counts["commits_failed"] += 1
         self._paused_until = self._loop.time() + WRITE_RETRY_S
         if self._counts["commits_failed"] in (1, 10, 100) or self._counts["commits_failed"] % 1000 == 0:
-            say(
+            log_event(
                 log,
                 "the store cannot be written",
                 logging.ERROR,
@@ -209,30 +211,32 @@
             return
         self._loop.call_later(VERDICT_INTERVAL_S, self._update_verdicts)
         now = self._clock.ms()
-        bounds = lag.Bounds(
-            self._config.lists.behind_s * 1000.0 if self._config.lists else lag.Bounds.behind_ms,
+        bounds = lag.LagThresholds(
+            self._config.lists.behind_s * 1000.0 if self._config.lists else lag.LagThresholds.behind_ms,
             self._config.asks.silent_s * 1000.0,
         )
         if now - self._started_ms < bounds.silent_ms:
             return  # too early to tell a silent sender from one that was not polled yet
         list_heard_ms = now - self._watch.silent_ms() if self._watch else None
         versions = tuple((Version(LIST, *fields), at_ms) for *fields, at_ms in self._store.recent_versions())
-        view = lag.judge(self._sightings(), lag.Given(versions, list_heard_ms), now, bounds, self._turns)
+        view = lag.judge(
+            self._sightings(), lag.PublishedLists(versions, list_heard_ms), now, bounds, self._turns
+        )
         verdicts = {"": (view.fleet, view.evidence, 0.0)}
         verdicts.update(
             (verdict.sender, (verdict.what, verdict.evidence, verdict.since_ms)) for verdict in view.verdicts
         )
         for sender, (what, evidence, since_ms) in verdicts.items():
-            if self._verdicts.get(sender, lag.WELL) != what:
+            if self._verdicts.get(sender, lag.HEALTHY) != what:
                 self._store.add_verdict(sender, what, evidence, since_ms, now)
-                say(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
+                log_event(log, "verdict", sender=sender or "the fleet", what=what, evidence=evidence)
                 self._schedule_commit()
             self._verdicts[sender] = what
 
-    def _sightings(self) -> list[lag.Sighting]:
+    def _sightings(self) -> list[lag.SenderSnapshot]:
         """Returns for each configured sender the latest answer of a process that holds the folder."""
-        latest: dict[str, lag.Sighting] = {
-            name: lag.Sighting(name, None) for name in self._sender_names.values()
+        latest: dict[str, lag.SenderSnapshot] = {
+            name: lag.SenderSnapshot(name, None) for name in self._sender_names.values()
         }
         for audit_address, _, answered_ms, encoded in self._store.last_answers():
             name = self._sender_names.get(audit_address)
@@ -241,7 +245,9 @@
             answer = wire.decode(encoded)
             previous_ms = latest[name].answered_ms
             if answer.holds and (previous_ms is None or answered_ms > previous_ms):
-                latest[name] = lag.Sighting(name, answered_ms, answer.versions.get(LIST), answer.heard_ms)
+                latest[name] = lag.SenderSnapshot(
+                    name, answered_ms, answer.versions.get(LIST), answer.heard_ms
+                )
         return [*latest.values()]
 
     # List service
@@ -281,8 +287,8 @@
         loop,
         store,
         machine,
-        LastingClock(machine, machine.folder(folder)),
-        random.Random(machine.unique()),
+        PersistentClock(machine, machine.folder(folder)),
+        random.Random(machine.unique_name()),
     )
     collector.start()
     try:
--- a/birchstack/keeper/store.py
+++ b/birchstack/keeper/store.py
@@ -12,19 +12,19 @@
 
 from birchstack.fleet import wire
 from birchstack.fleet.records import (
-    START,
-    Acted,
-    Adopted,
-    Ended,
-    Folded,
+    INITIAL_CHAIN,
+    CompactedRecords,
     Frame,
     Gap,
-    Life,
+    ProcessEnd,
+    ProcessStart,
     Record,
-    State,
-    after,
-    scan,
-    time_of,
+    TrailState,
+    TurnActions,
+    VersionAdopted,
+    record_time_ms,
+    scan_frames,
+    state_after,
 )
 from birchstack.fleet.versions import FORKED, LIST, OLDER
 from birchstack.keeper.tables import Tables
@@ -47,8 +47,8 @@
     branch: int = 0
     trail: str = ""
     next_number: int = 1
-    chain: bytes = START
-    state: State = field(default_factory=State)
+    chain: bytes = INITIAL_CHAIN
+    state: TrailState = field(default_factory=TrailState)
     last_ms: float = 0.0
     rescanning: bool = False
     lost_folder: tuple[str, float] | None = None
@@ -56,8 +56,8 @@
     def restart(self, rescanning: bool) -> None:
         """Moves the cursor back to the start of the trail."""
         self.next_number = 1
-        self.chain = START
-        self.state = State()
+        self.chain = INITIAL_CHAIN
+        self.state = TrailState()
         self.last_ms = 0.0
         self.rescanning = rescanning
 
@@ -121,7 +121,7 @@
             if row and row[0]:
                 name = self.db.execute("SELECT name FROM trail WHERE id=?", (row[0],)).fetchone()[0]
                 self.cursors[address] = Cursor(
-                    row[0], name, row[1], row[2], msgspec.msgpack.decode(row[3], type=State), row[4]
+                    row[0], name, row[1], row[2], msgspec.msgpack.decode(row[3], type=TrailState), row[4]
                 )
             else:
                 self._begin()
@@ -133,7 +133,7 @@
         """Returns the record number after which the next poll of an address continues."""
         return self.cursor(address).next_number - 1
 
-    def store_answer(self, address: str, answer: wire.Piece, now_ms: float, error_ms: float) -> bool:
+    def store_answer(self, address: str, answer: wire.TrailResponse, now_ms: float, error_ms: float) -> bool:
         """Stores the records of an answer; returns True where the address should be polled again at once.
 
         now_ms: the collector's time at which the sender answered, with an error of at most error_ms.
@@ -158,7 +158,7 @@
             self._rescan(cursor, answer, now_ms)
             return True
         previous: Frame | None = None
-        for frame in scan(answer.frames):
+        for frame in scan_frames(answer.frames):
             if not isinstance(frame, Frame):
                 self.add_finding("answer spoilt", answer.name, f"{address}: bytes that are no record", now_ms)
                 break
@@ -174,7 +174,7 @@
         )
         return not complete
 
-    def _update_clock(self, answer: wire.Piece, now_ms: float, error_ms: float) -> None:
+    def _update_clock(self, answer: wire.TrailResponse, now_ms: float, error_ms: float) -> None:
         """Stores the clock offset of the sender's boot if it is more accurate than the known one."""
         known = self._clocks.get(answer.boot)
         if known is None:
@@ -190,7 +190,7 @@
             )
 
     def _update_door(
-        self, address: str, answer: wire.Piece, now_ms: float, complete_ms: float | None
+        self, address: str, answer: wire.TrailResponse, now_ms: float, complete_ms: float | None
     ) -> None:
         """Stores the last answer of an address without its records.
 
@@ -203,7 +203,7 @@
             (answer.name, answer.process, answer.boot, now_ms, encoded, complete_ms, address),
         )
 
-    def _switch_trail(self, cursor: Cursor, answer: wire.Piece, now_ms: float) -> None:
+    def _switch_trail(self, cursor: Cursor, answer: wire.TrailResponse, now_ms: float) -> None:
         """Starts reading another trail: the sender has a new folder, or another sender answers."""
         previous_trails = [
             name
@@ -231,7 +231,7 @@
         cursor.trail = answer.trail
         cursor.restart(rescanning=False)
 
-    def _rescan(self, cursor: Cursor, answer: wire.Piece, now_ms: float) -> None:
+    def _rescan(self, cursor: Cursor, answer: wire.TrailResponse, now_ms: float) -> None:
         """Reads the trail again from its start: it does not continue from the records already stored.
 
         The first record that differs shows where the trail forked.
@@ -249,7 +249,7 @@
     # Records
 
     def _ingest(
-        self, cursor: Cursor, frame: Frame, previous: Frame | None, answer: wire.Piece, now_ms: float
+        self, cursor: Cursor, frame: Frame, previous: Frame | None, answer: wire.TrailResponse, now_ms: float
     ) -> bool:
         """Stores one frame and advances the cursor; returns False where the trail must be read again."""
         number = frame.number
@@ -262,7 +262,7 @@
                 "record not readable", answer.name, f"trail {cursor.trail} record {number}: {problem}", now_ms
             )
             record = Gap(cursor.last_ms, cursor.last_ms, "a record of a form this keeper does not read")
-        if isinstance(record, Folded):
+        if isinstance(record, CompactedRecords):
             self._add_folded(cursor, record)
             return True
         if number > cursor.next_number:
@@ -270,7 +270,7 @@
                 cursor,
                 Gap(
                     cursor.last_ms,
-                    time_of(record) or cursor.last_ms,
+                    record_time_ms(record) or cursor.last_ms,
                     f"records {cursor.next_number} to {number - 1} are not there",
                 ),
                 now_ms,
@@ -287,13 +287,13 @@
             )
         if not self._is_stored(cursor, frame, answer, now_ms):
             self._store_record(cursor, frame, record, now_ms)
-        cursor.state = after(cursor.state, number, record)
+        cursor.state = state_after(cursor.state, number, record)
         cursor.next_number = number + 1
         cursor.chain = frame.chain
-        cursor.last_ms = time_of(record) or cursor.last_ms
+        cursor.last_ms = record_time_ms(record) or cursor.last_ms
         return True
 
-    def _is_stored(self, cursor: Cursor, frame: Frame, answer: wire.Piece, now_ms: float) -> bool:
+    def _is_stored(self, cursor: Cursor, frame: Frame, answer: wire.TrailResponse, now_ms: float) -> bool:
         """Tells whether the record is stored already, from whichever address it came.
 
         Another record under the same number is a fork: what follows is stored as a branch of its own.
@@ -352,21 +352,22 @@
         state = cursor.state
         self._records.append((branch, number, frame.chain))
         self._last_numbers[cursor.trail] = max(self._last_number(cursor.trail), number)
-        if isinstance(record, Acted):
+        if isinstance(record, TurnActions):
             self._add_calls(self._stretch_id(branch, state), record)
-        elif isinstance(record, Adopted):
+        elif isinstance(record, VersionAdopted):
             self._add_adoption(cursor, number, record, now_ms)
-        elif isinstance(record, Life):
+        elif isinstance(record, ProcessStart):
             self._add_life(cursor, number, record, now_ms)
-        elif isinstance(record, Ended):
+        elif isinstance(record, ProcessEnd):
             self._end_stretch(branch, state, record.steady_ms)
             self.db.execute(
-                "UPDATE life SET ended_ms=? WHERE trail=? AND life=?", (record.steady_ms, branch, state.life)
+                "UPDATE life SET ended_ms=? WHERE trail=? AND life=?",
+                (record.steady_ms, branch, state.incarnation),
             )
         elif isinstance(record, Gap):
             self._add_gap(cursor, record, now_ms)
 
-    def _stretch_id(self, branch: int, state: State) -> int:
+    def _stretch_id(self, branch: int, state: TrailState) -> int:
         """Returns the row id of the stretch that the state is in, and creates the row if it is missing."""
         key = branch, state.stretch
         if key not in self._stretch_ids:
@@ -374,7 +375,7 @@
             self._stretch_ids[key] = row[0] if row else self._insert_stretch(branch, state)
         return self._stretch_ids[key]
 
-    def _insert_stretch(self, branch: int, state: State) -> int:
+    def _insert_stretch(self, branch: int, state: TrailState) -> int:
         list_version = state.versions.get(LIST)
         return self.db.execute(
             "INSERT INTO stretch(trail, number, sender, life, boot, epoch, list, digest, versions, from_ms, "
@@ -383,7 +384,7 @@
                 branch,
                 state.stretch,
                 state.name,
-                state.life,
+                state.incarnation,
                 state.boot,
                 list_version.epoch if list_version else None,
                 list_version.number if list_version else None,
@@ -394,7 +395,7 @@
             ),
         ).lastrowid
 
-    def _add_calls(self, stretch: int, record: Acted) -> None:
+    def _add_calls(self, stretch: int, record: TurnActions) -> None:
         """Buffers the calls of one record and adds them to the counters of their stretch."""
         at_ms = record.steady_ms
         calls = record.calls
@@ -413,22 +414,30 @@
         totals[2] += len(record.abandoned)
         totals[3] = max(totals[3], at_ms)
 
-    def _end_stretch(self, branch: int, state: State, at_ms: float) -> None:
+    def _end_stretch(self, branch: int, state: TrailState, at_ms: float) -> None:
         """Ends the current stretch: the process adopted another version, or ended."""
         if state.stretch:
             self._totals.setdefault(self._stretch_id(branch, state), [0, 0, 0, at_ms])[3] = at_ms
 
-    def _add_life(self, cursor: Cursor, number: int, record: Life, now_ms: float) -> None:
+    def _add_life(self, cursor: Cursor, number: int, record: ProcessStart, now_ms: float) -> None:
         """Stores the start of a process; reports a lost folder, a changed name and a stepped clock."""
         self.db.execute(
             "INSERT OR IGNORE INTO life VALUES(?, ?, ?, ?, ?, ?, ?, NULL)",
-            (cursor.branch, number, record.life, record.name, record.boot, record.wall_ms, record.steady_ms),
+            (
+                cursor.branch,
+                number,
+                record.incarnation,
+                record.name,
+                record.boot,
+                record.wall_ms,
+                record.steady_ms,
+            ),
         )
-        self._stretch_id(cursor.branch, after(cursor.state, number, record))
+        self._stretch_id(cursor.branch, state_after(cursor.state, number, record))
         if cursor.lost_folder and cursor.lost_folder[0] == record.name:
             _, since_ms = cursor.lost_folder
             cursor.lost_folder = None
-            started = Cursor(cursor.branch, cursor.trail, state=after(cursor.state, number, record))
+            started = Cursor(cursor.branch, cursor.trail, state=state_after(cursor.state, number, record))
             self._add_gap(started, Gap(since_ms, record.steady_ms, "the folder was lost"), now_ms)
         previous_name = cursor.state.name
         if previous_name and previous_name != record.name:
@@ -440,7 +449,7 @@
             )
         self._check_wall_clock(cursor, record.boot, record.wall_ms, record.steady_ms, record.name, now_ms)
 
-    def _add_adoption(self, cursor: Cursor, number: int, record: Adopted, now_ms: float) -> None:
+    def _add_adoption(self, cursor: Cursor, number: int, record: VersionAdopted, now_ms: float) -> None:
         """Stores that a version was adopted or refused; one that was adopted begins a new stretch."""
         state = cursor.state
         version = record.version
@@ -450,7 +459,7 @@
                 cursor.branch,
                 number,
                 state.name,
-                state.life,
+                state.incarnation,
                 state.boot,
                 version.kind,
                 version.origin,
@@ -466,7 +475,7 @@
         )
         if record.taken:
             self._end_stretch(cursor.branch, state, record.steady_ms)
-            self._stretch_id(cursor.branch, after(state, number, record))
+            self._stretch_id(cursor.branch, state_after(state, number, record))
         if version.kind == LIST and record.order in (OLDER, FORKED):
             previous = state.versions.get(LIST)
             self.add_finding(
@@ -516,14 +525,16 @@
                 now_ms,
             )
 
-    def _add_folded(self, cursor: Cursor, record: Folded) -> None:
+    def _add_folded(self, cursor: Cursor, record: CompactedRecords) -> None:
         """Stores the totals of records that were folded before they were polled, without single calls."""
         self._flush()
         known = record.chain in [chain for _, chain in self._records_numbered(cursor.trail, record.last)]
         for total in () if known else record.totals:
             if total.to_ms <= cursor.last_ms and total.number < cursor.state.stretch:
                 continue  # every record of this stretch is stored
-            state = State(total.life, total.name, total.boot, total.versions, total.number, total.from_ms)
+            state = TrailState(
+                total.incarnation, total.name, total.boot, total.versions, total.number, total.from_ms
+            )
             stretch = self._stretch_id(cursor.branch, state)
             calls = sum(tally.calls for tally in total.tallies)
             self.db.execute(
--- a/birchstack/net/sender.py
+++ b/birchstack/net/sender.py
@@ -15,20 +15,20 @@
 from birchstack import interface
 from birchstack.decide import NEVER_RAN, Sender
 from birchstack.net.audit import AuditLogFactory, SenderStatus
-from birchstack.net.by_hand import ByHand
+from birchstack.net.by_hand import AdministrativeStates
 from birchstack.net.calls import Call, Calls
-from birchstack.net.config import Config, ConfigError, fits, load, take_over
+from birchstack.net.config import Config, ConfigError, apply_reload, check_applicable, load
 from birchstack.net.discovery import Watch
 from birchstack.net.front import ABANDONED, ACCEPTED, REJECTED, UNAVAILABLE, ClientRequest, ClientServer
-from birchstack.net.ledger import Ledger, Owed
-from birchstack.net.listed import Listed
-from birchstack.net.log import broken, holds, say
-from birchstack.net.machine import LastingClock, Machine
+from birchstack.net.ledger import Ledger, LedgerEntry
+from birchstack.net.listed import EndpointList
+from birchstack.net.log import check_invariant, log_event, violations
+from birchstack.net.machine import Machine, PersistentClock
 from birchstack.net.notices import Notices
-from birchstack.net.operators import Answer, Door, Figures
-from birchstack.net.operators import Calls as OperatorCalls
+from birchstack.net.operators import Answer, Metrics, OperatorServer
+from birchstack.net.operators import Handlers as OperatorHandlers
 from birchstack.net.overflow import Overflow, StoreFactory
-from birchstack.net.recollection import Recollection
+from birchstack.net.recollection import StoredEndpointStates
 from birchstack.net.room import divide_descriptors, limit_to_descriptors
 from birchstack.net.tally import Tally
 
@@ -59,14 +59,16 @@
         store: StoreFactory | None = None,
     ) -> None:
         self._machine = machine or Machine()
-        self._config = config = limit_to_descriptors(config, self._machine.descriptors())
+        self._config = config = limit_to_descriptors(config, self._machine.max_descriptors())
         self._loop = loop
         self._started_at = loop.time()
         folder = self._folder = self._machine.folder(config.state)
-        self._lasting = LastingClock(self._machine, folder)
+        self._lasting = PersistentClock(self._machine, folder)
         self._core = Sender(config.settings, config.seed, self)  # the decision logic
         self._holds_lock = folder.lock(LOCK_NAME)  # False: another process of this sender holds it and sends
-        self._ledger = Ledger(folder, config.disk_bytes, "" if self._holds_lock else self._machine.unique())
+        self._ledger = Ledger(
+            folder, config.disk_bytes, "" if self._holds_lock else self._machine.unique_name()
+        )
         shares = divide_descriptors(config.sockets, config.settings.slots)
         self._calls = Calls(
             loop,
@@ -79,8 +81,10 @@
             self._on_call_end,
         )
         types = {kind.name: kind.expiry_ms for kind in config.settings.types}
-        self._list = Listed(self._calls)
-        self._client_server = ClientServer(loop, types, shares.clients, self._list.serves, self._on_document)
+        self._list = EndpointList(self._calls)
+        self._client_server = ClientServer(
+            loop, types, shares.clients, self._list.is_known, self._on_document
+        )
         self._watch = Watch(loop, config.discovery, config.kinds, self._on_list, self._may_apply_list)
         self._notices = Notices(loop, config.discovery, self._on_acknowledged)
         self._events: list[tuple] = []  # events of this pass, for the next turn
@@ -88,7 +92,7 @@
         self._starting: dict[str, Call] = {}  # calls to start at the end of this turn
         self._connected: list[Call] = []  # calls whose connection is established, to write at the turn's end
         self._answers: dict[str, tuple[str, float]] = {}  # by document id, for ids that are submitted again
-        self._by_hand = ByHand(folder, self._lasting.ms)
+        self._by_hand = AdministrativeStates(folder, self._lasting.ms)
         self._recollection = self._load_recollection() if self._holds_lock else None
         self._tally = Tally()
         self._reloads = [0, 0]  # configurations applied and rejected
@@ -101,7 +105,7 @@
         self._deferred_lists: list[tuple[str, list]] = []  # received while another process holds the folder
         self._signals_live = False  # what the decision logic was last told: signals of other senders arrive
         self._audit = audit(config, self._machine, folder, self._status, self._on_signals) if audit else None
-        operator_calls = OperatorCalls(
+        operator_handlers = OperatorHandlers(
             self._readiness,
             self._figures,
             lambda endpoint: self._set_by_hand(endpoint, True),
@@ -110,7 +114,7 @@
             lambda: self._drain(False),
             self._audit.answer_keeper if self._audit else None,
         )
-        self._door = Door(loop, operator_calls, shares.operators) if config.ops else None
+        self._door = OperatorServer(loop, operator_handlers, shares.operators) if config.ops else None
         self._store = store
         self._overflow = None  # backlog of documents beyond a destination's window, where one is configured
         self.ended = loop.create_future()
@@ -128,8 +132,8 @@
             self._audit.start(self._holds_lock)
             self._audit.record_settings(self._config, "start")
         self._watch.start(self._config.known)
-        await self._watch.first()
-        self._recover(self._ledger.owed)
+        await self._watch.wait_for_first()
+        self._recover(self._ledger.entries)
         self._turn()
         await self._client_server.open(self._machine, self._config.listen)
         self._end_overdue()
@@ -138,27 +142,27 @@
             self._check_signals()
         self._ready = True
         self._loop.call_later(LOCK_CHECK_S, self._check_lock)
-        say(
+        log_event(
             log,
             "ready",
             name=self._config.name,
-            owed=len(self._ledger.owed) + len(self._overflow or ()),
+            owed=len(self._ledger.entries) + len(self._overflow or ()),
             endpoints=len(self._list.entries),
             holds=self._holds_lock,
         )
 
-    def _recover(self, found: dict[str, Owed]) -> None:
+    def _recover(self, found: dict[str, LedgerEntry]) -> None:
         """Submits documents found in the folder, by id, to the decision logic; notices are sent again."""
         now = self.clock()
         wall = self._lasting.ms()
         self._remember({doc_id: (ACCEPTED, 0.0) for doc_id in (*self._ledger.ended, *found)})
         for owed in [*found.values()]:
-            owed.due = now + owed.expiry - wall
+            owed.deadline = now + owed.expiry - wall
             if owed.notice:
-                self._notices.tell(owed.id, *owed.notice)
+                self._notices.queue(owed.id, *owed.notice)
                 continue
             self._events.append((self._resubmit, owed))
-        if self._store and self._holds_lock and found is self._ledger.owed:
+        if self._store and self._holds_lock and found is self._ledger.entries:
             self._overflow = Overflow(
                 self._store(self._folder, wall),
                 self._ledger,
@@ -169,31 +173,31 @@
                 self._schedule_turn,
             )
 
-    def _load_recollection(self) -> Recollection:
+    def _load_recollection(self) -> StoredEndpointStates:
         """Reads what the folder, now held by this process, says about endpoints."""
-        if not self._lasting.kept:
-            self._ledger.begin_recoveries_anew(self._lasting.ms())
-        return Recollection(self._ledger, self._by_hand)
+        if not self._lasting.continued:
+            self._ledger.restart_recoveries(self._lasting.ms())
+        return StoredEndpointStates(self._ledger, self._by_hand)
 
     def _recall(self, listed: Iterable[interface.Endpoint]) -> None:
         """Reports known recoveries and waits of endpoints, after the list with them and before documents."""
-        for recalled in self._recollection.of(self._lasting.ms(), listed):
+        for recalled in self._recollection.pop_listed(self._lasting.ms(), listed):
             if recalled.recovery:
                 self._events.append((self._core.restore_recovery, recalled.recovery))
             if recalled.wait_ms > 0.0:
                 self._events.append((self._core.restore_wait, recalled.endpoint, recalled.wait_ms))
 
-    def _resubmit(self, now: float, owed: Owed, tenant: str | None = None) -> None:
+    def _resubmit(self, now: float, owed: LedgerEntry, tenant: str | None = None) -> None:
         """Submits a document accepted earlier to the decision logic, with its past transmissions."""
         wall = self._lasting.ms()
-        owed.due = now + owed.expiry - wall
+        owed.deadline = now + owed.expiry - wall
         self._remember({owed.id: (ACCEPTED, 0.0)})
         if owed.type not in self._client_server.types:
             self._end_with_notice(owed.id, "dead", 0.0, "its type is in the settings no more")
             return
-        doubt = tuple((now + when - wall, zone) for zone, when in owed.doubt)
-        history = interface.History(owed.sent, owed.failed, doubt) if owed.found else interface.NO_HISTORY
-        remaining_ms = owed.due - now
+        doubt = tuple((now + when - wall, zone) for zone, when in owed.in_doubt)
+        history = interface.History(owed.sent, owed.failed, doubt) if owed.recovered else interface.NO_HISTORY
+        remaining_ms = owed.deadline - now
         submission = interface.Submission(
             owed.id, owed.destination, owed.type, remaining_ms, owed.key, history, tenant
         )
@@ -214,7 +218,7 @@
         self._loop.call_later(
             LOCK_CHECK_S * (HOLDER_CHECK_FACTOR if self._holds_lock else 1), self._check_lock
         )
-        if self._holds_lock and (found := self._ledger.adopt()):
+        if self._holds_lock and (found := self._ledger.adopt_standby()):
             self._recover({owed.id: owed for owed in found})
             self._schedule_turn()
         if self._holds_lock or not self._folder.lock(LOCK_NAME):
@@ -225,17 +229,17 @@
         self._core = Sender(self._config.settings, self._config.seed, self)
         self._holds_lock = True
         self._signals_live = False  # the new decision logic has not been told yet
-        self._by_hand.read()  # operators may have called the other process meanwhile
+        self._by_hand.load()  # operators may have called the other process meanwhile
         if self._audit:
             self._audit.start(True)
         for mode, listed in self._deferred_lists:
-            entries = [self._by_hand.as_told(entry) for entry in listed]
+            entries = [self._by_hand.effective(entry) for entry in listed]
             self._events.append((self._core.endpoints, mode, entries))
         self._deferred_lists.clear()
         self._recollection = self._load_recollection()
         self._recall(self._list.entries.values())
-        self._recover(self._ledger.owed)
-        say(log, "holds the folder", owed=len(self._ledger.owed))
+        self._recover(self._ledger.entries)
+        log_event(log, "holds the folder", owed=len(self._ledger.entries))
         self._schedule_turn()
 
     # Events: queued, and reported to the decision logic in one turn
@@ -259,7 +263,7 @@
     def _on_list(self, mode: str, listed: list) -> None:
         self._list.apply(mode, listed)
         if self._holds_lock:
-            self._enqueue(self._core.endpoints, mode, [self._by_hand.as_told(entry) for entry, _ in listed])
+            self._enqueue(self._core.endpoints, mode, [self._by_hand.effective(entry) for entry, _ in listed])
             self._recall(entry for entry, _ in listed)
             return
         if mode != interface.CHANGES:  # a whole list replaces what was deferred until this process sends
@@ -272,33 +276,33 @@
 
     def _on_delivered(self, call: Call) -> None:
         """Ends the document at the status line of a 200: the rest of the answer cannot change that."""
-        owed = self._ledger.owed.get(call.doc_id)
-        if owed and holds(owed.notice is None, "a document ends exactly once"):
+        owed = self._ledger.entries.get(call.doc_id)
+        if owed and check_invariant(owed.notice is None, "a document ends exactly once"):
             self._tally.count_delivered(owed.type)
-            if self.clock() < owed.due - EXPIRY_MARGIN_MS:
-                self._ledger.done(owed)
+            if self.clock() < owed.deadline - EXPIRY_MARGIN_MS:
+                self._ledger.finish(owed)
             else:  # the platform may count it as expired: it also gets a notice, harmless if it does not
-                self._ledger.notice(owed, "dead", 0.0)
-                self._notices.tell(owed.id, "dead", 0.0)
+                self._ledger.record_notice(owed, "dead", 0.0)
+                self._notices.queue(owed.id, "dead", 0.0)
 
     def _on_call_end(self, call: Call, outcome: interface.Outcome) -> None:
         if outcome.wait_ms > 0.0:
-            self._ledger.told(call.endpoint, self._lasting.ms() + outcome.wait_ms)
-        owed = self._ledger.owed.get(call.doc_id)
+            self._ledger.record_wait(call.endpoint, self._lasting.ms() + outcome.wait_ms)
+        owed = self._ledger.entries.get(call.doc_id)
         if owed and owed.notice is None:  # with a notice it stays until the platform has acknowledged that
             if outcome.final:
-                self._ledger.done(owed)
+                self._ledger.finish(owed)
             else:
                 failed = outcome.kind not in (interface.FULL, interface.UNSENT)
-                self._ledger.back(owed, outcome.kind not in NEVER_RAN, failed)
-        self._ledger.freed(call.destination)
+                self._ledger.record_outcome(owed, outcome.kind not in NEVER_RAN, failed)
+        self._ledger.on_freed(call.destination)
         self._enqueue(self._core.outcome, call.doc_id, call.endpoint, outcome)
 
     def _on_acknowledged(self, ids: list[str]) -> None:
         for doc_id in ids:
-            owed = self._ledger.owed.get(doc_id)
+            owed = self._ledger.entries.get(doc_id)
             if owed:
-                self._ledger.done(owed)
+                self._ledger.finish(owed)
 
     # The turn
 
@@ -332,20 +336,20 @@
             handler(*arguments)
         except Exception:
             log.exception("a fault of the decisions")
-            return holds(False, "the decision logic raises no exception")
+            return check_invariant(False, "the decision logic raises no exception")
         return True
 
     def _end_overdue(self) -> None:
         """Safety net: ends documents that the decision logic left unended past their expiry."""
         late = self.clock() - OVERDUE_MS
-        overdue = [each for each in self._ledger.owed.values() if each.due < late and not each.notice]
+        overdue = [each for each in self._ledger.entries.values() if each.deadline < late and not each.notice]
         if overdue:
             self._schedule_turn()  # after a stall of the process the decision logic gets its turn first
-        for owed in [each for each in overdue if each.due < self._last_turn_at - OVERDUE_MS]:
-            holds(owed.out is None, "no transmission lasts beyond the expiry")
+        for owed in [each for each in overdue if each.deadline < self._last_turn_at - OVERDUE_MS]:
+            check_invariant(owed.in_flight is None, "no transmission lasts beyond the expiry")
             self._end_with_notice(owed.id, "dead", 0.0)
             self._enqueue(self._core.withdrawn, owed.id)
-            holds(False, "a document ends before its expiry")
+            check_invariant(False, "a document ends before its expiry")
         self._loop.call_later(OVERDUE_MS / 2000.0, self._end_overdue)
 
     def _accept(self, now: float, request: ClientRequest) -> None:
@@ -365,7 +369,9 @@
                 self._answer(request, *verdict)
             else:
                 self._pending[request.id] = request
-        elif not self._ledger.fits([len(request.body), *(len(each.body) for each in self._pending.values())]):
+        elif not self._ledger.has_space(
+            [len(request.body), *(len(each.body) for each in self._pending.values())]
+        ):
             self._answer(request, UNAVAILABLE, advice_ms)
         else:
             request.remaining_ms -= age
@@ -404,7 +410,7 @@
                 if self._overflow and self._overflow.record(request, wall):
                     self._answer(request, ACCEPTED)
                     continue
-                owed = self._ledger.take(
+                owed = self._ledger.add(
                     request.id,
                     request.type,
                     request.destination,
@@ -414,18 +420,18 @@
                     request.repeat_key,
                 )
             except OSError as problem:
-                say(log, "not taken on", logging.ERROR, problem=problem)
+                log_event(log, "not taken on", logging.ERROR, problem=problem)
                 self._enqueue(self._core.withdrawn, request.id)
                 self._cancel_call(self._starting.pop(request.id, None))
                 self._answer(request, UNAVAILABLE, self._config.settings.retry_after_ms)
             else:
-                owed.due = now + request.remaining_ms
+                owed.deadline = now + request.remaining_ms
                 self._answer(request, ACCEPTED)
         starting, self._starting = self._starting, {}
         approved = []
         for call in starting.values():
-            owed = self._ledger.owed.get(call.doc_id)
-            if not holds(
+            owed = self._ledger.entries.get(call.doc_id)
+            if not check_invariant(
                 owed and owed.notice is None and call.endpoint in self._calls.addresses,
                 "only documents that are held are sent, and only to listed endpoints",
             ):
@@ -449,7 +455,7 @@
         removed or moved, the document may have ended, or this process may have been told to stop. Cost: the
         connection is closed, and the next call to the endpoint dials again.
         """
-        owed = self._ledger.owed.get(call.doc_id)
+        owed = self._ledger.entries.get(call.doc_id)
         if not (
             owed
             and owed.notice is None
@@ -459,11 +465,11 @@
         ):
             return False
         try:
-            self._ledger.call(owed, self._list.entries[call.endpoint].zone, self._lasting.ms())
+            self._ledger.record_transmission(owed, self._list.entries[call.endpoint].zone, self._lasting.ms())
         except OSError as problem:
-            say(log, "not sent", logging.ERROR, problem=problem)
+            log_event(log, "not sent", logging.ERROR, problem=problem)
             return False
-        call.timeout_ms = min(call.timeout_ms, owed.due - now)
+        call.timeout_ms = min(call.timeout_ms, owed.deadline - now)
         return True
 
     def _cancel_call(self, call: Call | None) -> None:
@@ -472,14 +478,14 @@
 
     def _log_state(self) -> None:
         """Logs the sender's state at regular intervals, for operators."""
-        say(
+        log_event(
             log,
             "state",
-            owed=len(self._ledger.owed),
+            owed=len(self._ledger.entries),
             out=len(self._calls),
             notices=len(self._notices),
             clients=len(self._client_server),
-            broken=dict(broken),
+            broken=dict(violations),
             untried=dict(self._tally.untried),
         )
         self._loop.call_later(STATE_LOG_INTERVAL_S, self._log_state)
@@ -488,7 +494,7 @@
 
     def transmit(self, doc_id: str, endpoint: str, timeout_ms: float) -> None:
         """Starts a call at the end of this turn."""
-        owed = self._ledger.owed.get(doc_id)
+        owed = self._ledger.entries.get(doc_id)
         attempt, destination = (owed.sent, owed.destination) if owed else (0, -1)
         self._starting[doc_id] = Call(doc_id, attempt, endpoint, b"", timeout_ms, destination=destination)
 
@@ -508,19 +514,19 @@
 
     def _end_with_notice(self, doc_id: str, result: str, wait_ms: float, why: str = "") -> None:
         """Ends an accepted document undelivered; why: the reason to log if it was never transmitted."""
-        owed = self._ledger.owed.get(doc_id)
-        if holds(owed and owed.notice is None, "a document ends exactly once"):
-            if owed.found and not owed.sent:  # found at a restart and never transmitted
+        owed = self._ledger.entries.get(doc_id)
+        if check_invariant(owed and owed.notice is None, "a document ends exactly once"):
+            if owed.recovered and not owed.sent:  # found at a restart and never transmitted
                 why = why or (
                     "it expired, or its endpoints asked to wait"
-                    if self._list.ready(owed.destination)
+                    if self._list.has_ready(owed.destination)
                     else "no endpoint is ready"
                 )
                 self._tally.untried[why] += 1
-                say(log, "given up with no call", logging.WARNING, doc=doc_id, reason=why)
+                log_event(log, "given up with no call", logging.WARNING, doc=doc_id, reason=why)
             self._tally.count_undelivered(owed.id, owed.type, result == "dead")
-            self._ledger.notice(owed, result, wait_ms)
-            self._notices.tell(doc_id, result, wait_ms)
+            self._ledger.record_notice(owed, result, wait_ms)
+            self._notices.queue(doc_id, result, wait_ms)
 
     def close_idle(self, endpoint: str) -> None:
         """Closes the idle connections to an endpoint."""
@@ -548,11 +554,11 @@
 
     def save_recovery(self, recovery: interface.Recovery) -> None:
         """Records an endpoint's recovery for the process after this one."""
-        self._ledger.remember(self._lasting.ms(), recovery)
+        self._ledger.record_recovery(self._lasting.ms(), recovery)
 
     def log(self, text: str) -> None:
         """Logs a line of the decision logic."""
-        say(log, text)
+        log_event(log, text)
 
     # Signals of other senders
 
@@ -562,7 +568,7 @@
         self._update_signals()
         for report in reports:
             if report.wait_ms > 0.0:  # kept over a restart, like a wait asked of this sender
-                self._ledger.told(report.endpoint, self._lasting.ms() + report.wait_ms)
+                self._ledger.record_wait(report.endpoint, self._lasting.ms() + report.wait_ms)
             self._enqueue(self._core.report_received, report)
 
     def _check_signals(self) -> None:
@@ -574,7 +580,7 @@
         live = bool(self._audit.signals_live())
         if live != self._signals_live and self._holds_lock:
             self._signals_live = live
-            say(log, "signals of other senders come" if live else "no signals of other senders come")
+            log_event(log, "signals of other senders come" if live else "no signals of other senders come")
             self._enqueue(self._core.signals_available, live)
 
     # Calls of operators
@@ -585,15 +591,15 @@
         return Answer(True, "ready") if self._ready else Answer(False, "starting", 503)
 
     def _status(self) -> SenderStatus:
-        return SenderStatus(self._readiness().yes, len(self._ledger.owed), self._watch.silent_ms())
+        return SenderStatus(self._readiness().ok, len(self._ledger.entries), self._watch.silent_ms())
 
-    def _figures(self) -> Figures:
-        out = self._by_hand.out
+    def _figures(self) -> Metrics:
+        out = self._by_hand.disabled
         avoided = sum(name in self._list.entries for name in out) + sum(
             name not in out for name in self._core.ejected_endpoints()
         )
-        held = len(self._overflow or ()) + sum(owed.notice is None for owed in self._ledger.owed.values())
-        return Figures(
+        held = len(self._overflow or ()) + sum(owed.notice is None for owed in self._ledger.entries.values())
+        return Metrics(
             self._tally.by_type(kind.name for kind in self._config.settings.types),
             self._calls.transmitted,
             held,
@@ -606,9 +612,9 @@
     def _set_by_hand(self, endpoint: str, out: bool) -> Answer:
         """Disables or enables an endpoint by hand."""
         entry = self._list.entries.get(endpoint)
-        answer = self._by_hand.set(endpoint, out, entry is not None)
-        if answer.yes and entry and self._holds_lock:
-            self._enqueue(self._core.endpoints, interface.CHANGES, [self._by_hand.as_told(entry)])
+        answer = self._by_hand.set_disabled(endpoint, out, entry is not None)
+        if answer.ok and entry and self._holds_lock:
+            self._enqueue(self._core.endpoints, interface.CHANGES, [self._by_hand.effective(entry)])
         return answer
 
     def _drain(self, drained: bool) -> Answer:
@@ -625,16 +631,16 @@
         lower limits apply to what comes next.
         """
         try:
-            reloaded = limit_to_descriptors(load(again=True), self._machine.descriptors())
+            reloaded = limit_to_descriptors(load(reloading=True), self._machine.max_descriptors())
             self._turn()  # submissions so far are accepted under the old settings
-            held = {owed.type for owed in self._ledger.owed.values() if owed.notice is None}
-            fits(reloaded, self._config, held, self._list.last_kind())
+            held = {owed.type for owed in self._ledger.entries.values() if owed.notice is None}
+            check_applicable(reloaded, self._config, held, self._list.highest_kind())
         except ConfigError as problem:
-            say(log, "configuration not taken over", logging.ERROR, problem=problem)
+            log_event(log, "configuration not taken over", logging.ERROR, problem=problem)
             self._reloads[1] += 1
             return
         self._reloads[0] += 1
-        self._config, changed, needs_restart = take_over(reloaded, self._config)
+        self._config, changed, needs_restart = apply_reload(reloaded, self._config)
         self._client_server.types = {kind.name: kind.expiry_ms for kind in reloaded.settings.types}
         self._calls.idle_ms = reloaded.idle_ms
         self._calls.dial_ms = reloaded.dial_ms
@@ -642,9 +648,9 @@
             self._audit.record_settings(self._config, "reload")
         if changed:
             self._enqueue(self._core.reconfigure, reloaded.settings)
-        self._watch.move(reloaded.discovery, reloaded.kinds)
-        self._notices.move(reloaded.discovery)
-        say(
+        self._watch.reconfigure(reloaded.discovery, reloaded.kinds)
+        self._notices.set_address(reloaded.discovery)
+        log_event(
             log,
             "configuration taken over",
             discovery="{}:{}".format(*reloaded.discovery),
@@ -657,11 +663,11 @@
         if self._closing_at is not None:
             return
         self._closing_at = self._loop.time()
-        self._handing_over = self._holds_lock and self._ledger.awaited()
-        say(
+        self._handing_over = self._holds_lock and self._ledger.has_standby()
+        log_event(
             log,
             "closing",
-            owed=len(self._ledger.owed),
+            owed=len(self._ledger.entries),
             out=len(self._calls),
             handing=self._handing_over,
         )
@@ -682,17 +688,17 @@
             busy = len(self._calls) or len(self._client_server)
         else:
             busy = self._client_server.busy() or (
-                self._ledger.owed if elapsed_s < START_CALLS_S else len(self._calls) or len(self._notices)
+                self._ledger.entries if elapsed_s < START_CALLS_S else len(self._calls) or len(self._notices)
             )
         if busy and elapsed_s < FINISH_CALLS_S:
             self._loop.call_later(0.05, self._check_closed)
             return
-        say(
+        log_event(
             log,
             "closed",
-            owed=len(self._ledger.owed),
+            owed=len(self._ledger.entries),
             out=len(self._calls),
-            broken=dict(broken),
+            broken=dict(violations),
             untried=dict(self._tally.untried),
         )
         self._watch.stop()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -48,7 +48,7 @@
             assert (await world.operator("GET", "/ready"))[0] == 200
 
     asyncio.run(whole())
-    assert set(made) == {"ClientConnection", "EndpointConnection", "Watch", "Notices", "Caller"}
+    assert set(made) == {"ClientConnection", "EndpointConnection", "Watch", "Notices", "OperatorConnection"}
     assert all(all(each) for each in made.values())
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -183,7 +183,7 @@
         await until(lambda: heard)
         assert len(asked) == 2
 
-    run_watch(story, respond, monkeypatch, BEAT_S=0.1, ANSWER_S=0.2)
+    run_watch(story, respond, monkeypatch, HEARTBEAT_S=0.1, RESPONSE_TIMEOUT_S=0.2)
 
 
 def test_a_complete_list_counts_even_if_the_watch_ends_after_it():
@@ -323,7 +323,7 @@
         notices = Notices(loop, server.sockets[0].getsockname(), known.extend)
         async with asyncio.timeout(8.0):
             await story(notices, posts, known)
-        notices._hang_up()
+        notices._disconnect()
         server.close()
 
     asyncio.run(whole())
@@ -331,20 +331,20 @@
 
 def test_a_notice_on_a_silent_connection_is_sent_again_in_time():
     async def story(notices, posts, known):
-        notices.tell("d0", "dead", 0.0)
+        notices.queue("d0", "dead", 0.0)
         await until(lambda: known == ["d0"])
-        notices.tell("d1", "dead", 0.0)  # on the connection that has fallen silent
+        notices.queue("d1", "dead", 0.0)  # on the connection that has fallen silent
         await until(lambda: known == ["d0", "d1"])
         assert len(posts) == 3 and posts[2][0] - posts[1][0] < 0.25  # within the 300 ms that the notice has
-        assert notices._answer_s < 0.2  # the time-out shrinks again once the platform answers
+        assert notices._answer_timeout_s < 0.2  # the time-out shrinks again once the platform answers
 
     run_notices(story, lambda writer, times: times == 2 or writer.write(b"HTTP/1.1 204 No\r\n\r\n"))
 
 
 def test_an_unsolicited_answer_acknowledges_no_later_notice():
     async def story(notices, posts, known):
-        notices.tell("d0", "dead", 0.0)
-        notices.tell("d1", "dead", 0.0)  # waits for the answer to the first
+        notices.queue("d0", "dead", 0.0)
+        notices.queue("d1", "dead", 0.0)  # waits for the answer to the first
         await until(lambda: len(posts) == 2)
         assert known == ["d0"]
         await until(lambda: known == ["d0", "d1"])
@@ -382,7 +382,7 @@
         async with InProcessWorld(tmp_path / "state") as world:
             assert (await world.hand_in("d1"))[0] == 202
             assert await world.until(lambda: '["done","d1"' in world.on_disk())
-            assert world.notices == notices and len(world.calls) == 1 and not world.node._ledger.owed
+            assert world.notices == notices and len(world.calls) == 1 and not world.node._ledger.entries
 
     monkeypatch.setattr(sender, "EXPIRY_MARGIN_MS", near_ms)
     asyncio.run(whole())
