--- a/birchstack/emulator/__init__.py
+++ b/birchstack/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""A world for the sender, of the project's own: the systems it serves, played in virtual time or on sockets.
+"""Emulator of the sender's environment: clients, destinations and discovery, in virtual time or on sockets.
 
 The sender never imports this package; see docs/notes/emulator.md.
 """
--- a/birchstack/emulator/folder.py
+++ b/birchstack/emulator/folder.py
@@ -1,6 +1,7 @@
-"""The folder that lasts, in memory: it outlasts its processes, and can lose, tear or refuse writes.
+"""In-memory file system of a sender, with fault injection: writes can be lost, torn or refused.
 
-Owns the bytes of one sender's folder and the faults that strike its writes. Must never know what they mean.
+It outlives the processes that use it. It holds the files of one sender's folder and the faults injected into
+its writes, and does not interpret the contents.
 """
 
 from __future__ import annotations
@@ -10,8 +11,12 @@
 
 from birchstack.emulator.clock import Killed
 
-BLOCK = 512
-BEFORE, TORN, AFTER = "before", "torn", "after"  # a strike: none, half or all is written
+BLOCK = 512  # bytes; disk space is allocated in whole blocks
+
+# Positions of a kill relative to a write: none, half or all of the data is written
+BEFORE = "before"
+TORN = "torn"
+AFTER = "after"
 
 
 def _no_space() -> OSError:
@@ -19,73 +24,85 @@
 
 
 class Disk:
-    """The names and bytes; sessions of processes are opened on it."""
+    """File names and contents of one disk. Each process opens a MemoryFolder on it."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytearray] = {}
         self.full = False
-        self.limit: int | None = None  # bytes in blocks; room that is given back can be used again
-        self.writes = self.most_bytes = 0
-        self.strike: tuple[int, str] | None = None  # the write to strike at (counted), and how
-        self.died: Callable[[], None] = lambda: None  # ends the process that writes
+        self.limit: int | None = None  # size in bytes, allocated in blocks; freed blocks can be used again
+        self.writes = 0
+        self.peak_bytes = 0
+        self.strike: tuple[int, str] | None = None  # write to kill the process at: its number, and where
+        self.kill_process: Callable[[], None] = lambda: None  # ends the process that writes
 
     def used(self) -> int:
+        """Returns the bytes in allocated blocks."""
         return sum(-(-len(data) // BLOCK) * BLOCK for data in self.files.values())
 
-    def step(self, data: bytes = b"") -> tuple[bytes, bool]:
-        """Before each change: what of it still happens, and whether the process ends with it."""
+    def count_change(self, data: bytes = b"") -> tuple[bytes, bool]:
+        """Counts a change that is about to be made.
+
+        Returns the part of the data to be written, and whether the process is killed after it.
+        """
         self.writes += 1
         if not self.strike or self.writes < self.strike[0]:
             return data, False
-        how, self.strike = self.strike[1], None
-        if how == BEFORE or how == TORN and not data:
-            self.end()
-        return (data[: len(data) // 2], True) if how == TORN else (data, True)
-
-    def end(self) -> None:
-        self.died()
+        position, self.strike = self.strike[1], None
+        if position == BEFORE or position == TORN and not data:
+            self.kill()
+        return (data[: len(data) // 2], True) if position == TORN else (data, True)
+
+    def kill(self) -> None:
+        """Kills the process that is writing; raises Killed."""
+        self.kill_process()
         raise Killed
 
 
 class MemoryFolder:
-    """What one process sees of a disk; the methods are those of net.machine.Folder."""
+    """One process's access to a disk; the methods are those of net.machine.Folder."""
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
         self._open: dict[int, bytearray] = {}
-        self._next, self.dead = 3, False
+        self._last_descriptor = 3
+        self.dead = False
 
-    def _may(self) -> None:
+    def _check_alive(self) -> None:
         if self.dead:
             raise Killed
 
     def names(self) -> list[str]:
+        """Returns the names of all files."""
         return list(self._disk.files)
 
     def lock(self, name: str) -> bool:
-        """One process at a time lives on a disk here."""
+        """Returns True: only one process at a time uses a disk here."""
         return True
 
     def unlock(self, name: str) -> None:
-        """Nothing was locked."""
+        """Does nothing, since lock() locks nothing."""
 
     def read(self, name: str) -> bytes:
+        """Returns the contents of a file."""
         try:
             return bytes(self._disk.files[name])
         except KeyError:
             raise FileNotFoundError(errno.ENOENT, "No such file", name) from None
 
     def read_at(self, name: str, offset: int, size: int) -> bytes:
+        """Returns at most size bytes of a file, from an offset."""
         self.size(name)
         return bytes(self._disk.files[name][offset : offset + size])
 
     def size(self, name: str) -> int:
+        """Returns the size of a file in bytes."""
         try:
             return len(self._disk.files[name])
         except KeyError:
             raise FileNotFoundError(errno.ENOENT, "No such file", name) from None
 
     def write(self, name: str, data: bytes) -> None:
+        """Replaces the contents of a file."""
         self.close(self._write(self.open(name, fresh=True), data))
 
     def _write(self, handle: int, data: bytes) -> int:
@@ -94,44 +111,50 @@
         return handle
 
     def open(self, name: str, fresh: bool = False) -> int:
-        self._may()
+        """Opens a file for appending, empty if it is fresh, and returns its descriptor."""
+        self._check_alive()
         if fresh or name not in self._disk.files:
             self._disk.files[name] = bytearray()
-        self._next += 1
-        self._open[self._next] = self._disk.files[name]
-        return self._next
+        self._last_descriptor += 1
+        self._open[self._last_descriptor] = self._disk.files[name]
+        return self._last_descriptor
 
     def append(self, handle: int, data: bytes) -> int:
-        self._may()
+        """Appends data and returns the number of bytes written, which is lower on a full disk."""
+        self._check_alive()
         disk = self._disk
-        part, dies = disk.step(data)
-        if dies:
+        part, killed = disk.count_change(data)
+        if killed:
             self._open[handle].extend(part)
-            disk.end()
+            disk.kill()
         if disk.full or disk.limit is not None and disk.used() + len(data) > disk.limit:
-            part = data[: max(0, -len(self._open[handle]) % BLOCK)]  # the last block has some room left
+            part = data[: max(0, -len(self._open[handle]) % BLOCK)]  # fits into the file's last block
             if not part:
                 raise _no_space()
         self._open[handle].extend(part)
-        disk.most_bytes = max(disk.most_bytes, disk.used()) if disk.writes % 64 == 0 else disk.most_bytes
+        # The usage is sampled, since used() visits every file
+        disk.peak_bytes = max(disk.peak_bytes, disk.used()) if disk.writes % 64 == 0 else disk.peak_bytes
         return len(part)
 
     def close(self, handle: int) -> None:
+        """Closes a descriptor."""
         self._open.pop(handle, None)
 
     def rename(self, old: str, new: str) -> None:
-        self._may()
-        _, dies = self._disk.step()
+        """Renames a file, replacing the target."""
+        self._check_alive()
+        _, killed = self._disk.count_change()
         if old not in self._disk.files:
             raise FileNotFoundError(errno.ENOENT, "No such file", old)
         self._disk.files[new] = self._disk.files.pop(old)
-        if dies:
-            self._disk.end()
+        if killed:
+            self._disk.kill()
 
     def unlink(self, name: str) -> None:
-        self._may()
-        _, dies = self._disk.step()
+        """Deletes a file."""
+        self._check_alive()
+        _, killed = self._disk.count_change()
         if self._disk.files.pop(name, None) is None:
             raise FileNotFoundError(errno.ENOENT, "No such file", name)
-        if dies:
-            self._disk.end()
+        if killed:
+            self._disk.kill()
--- a/birchstack/emulator/peers.py
+++ b/birchstack/emulator/peers.py
@@ -158,7 +158,7 @@
             self._world.stage.after(0.0, port.abort)
             return
         self._world.connections += 1
-        port.watch(self._let_go)
+        port.on_client_closed(self._let_go)
         self._rest()
 
     def _rest(self) -> None:
--- a/birchstack/emulator/rig/drawn.py
+++ b/birchstack/emulator/rig/drawn.py
@@ -92,7 +92,7 @@
         process = self._rig[name]
         if not process.runs:
             return
-        if process.loop.still:  # it lies in the kernel until the process goes on
+        if process.loop.paused:  # it lies in the kernel until the process goes on
             self._lying[name].append(told)
             return
         contents = self._contents[name].copy()
--- a/birchstack/emulator/rig/virtual.py
+++ b/birchstack/emulator/rig/virtual.py
@@ -107,13 +107,13 @@
             self._note(how)
             self.loop.end()
             self.folder.dead = True
-            self.rig.network.died(self.loop)
+            self.rig.network.process_ended(self.loop)
 
     def kill(self) -> None:
         self.over("killed")
 
     def kill_at_write(self, write: int, how: str) -> None:
-        self.disk.died = lambda: self.over("killed")
+        self.disk.kill_process = lambda: self.over("killed")
         self.disk.strike = (self.disk.writes + write, how)
 
     def term(self) -> None:
@@ -121,9 +121,9 @@
             self.loop.call_soon(self.on_term)
 
     def stand(self, still: bool) -> None:
-        if self.runs and self.loop.still != still:
+        if self.runs and self.loop.paused != still:
             self._note("stopped" if still else "let go")
-            self.loop.stand(still)
+            self.loop.set_paused(still)
             if not still:
                 self.on_go()
 
--- a/birchstack/emulator/sockets.py
+++ b/birchstack/emulator/sockets.py
@@ -146,7 +146,7 @@
 
     # The port
 
-    def watch(self, left: Callable[[], None]) -> None:
+    def on_client_closed(self, left: Callable[[], None]) -> None:
         """What the sender's end does is seen only when it arrives."""
 
     def write(self, data: bytes) -> None:
--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -49,7 +49,7 @@
         if dark:
             host.dark = True
         else:
-            self._network.light(host)
+            self._network.restore(host)
 
 
 class MemoryMachine(Machine):
@@ -141,7 +141,7 @@
         loop.end()
         self._folder.dead = True
         self.node = None
-        day.network.died(loop)
+        day.network.process_ended(loop)
         day.judge.stopped(day.clock.now_ms(), self.number, how)
         day.clock.after(self._down_ms or 600.0, self._restart, loop)
 
@@ -178,7 +178,7 @@
 
     def strike_write(self, write: int, how: str, down_ms: float) -> None:
         self._down_ms = down_ms
-        self.disk.died = lambda: self._over("killed at a write")
+        self.disk.kill_process = lambda: self._over("killed at a write")
         self.disk.strike = (self.disk.writes + write, how)
 
 
@@ -202,7 +202,7 @@
 
     def stand(self, number: int, still: bool) -> None:
         if not self._process(number).loop.dead:
-            self._process(number).loop.stand(still)
+            self._process(number).loop.set_paused(still)
 
     def fill_disk(self, number: int, full: bool) -> None:
         self._process(number).disk.full = full
@@ -287,9 +287,9 @@
         spent = time.process_time() - began
         figures = Counter(self.judge.counts)
         figures["connections opened by senders"] = self.world.connections
-        figures["events"] = self.clock.events
-        figures["most descriptors"] = max(self.network.most_held.values(), default=0)
-        figures["most bytes on disk"] = max(process.disk.most_bytes for process in self.processes)
+        figures["events"] = self.clock.events_scheduled
+        figures["most descriptors"] = max(self.network.peak_connections.values(), default=0)
+        figures["most bytes on disk"] = max(process.disk.peak_bytes for process in self.processes)
         memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
         return Result.of(self.scenario, self.seed, "virtual", self.judge, figures, until, spent, memory)
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -252,7 +252,7 @@
     assert folder.append(handle, b"y" * 1000) == 412  # what the last block still holds
     with pytest.raises(OSError):
         folder.append(handle, b"z")
-    disk.full, disk.strike, disk.died = False, (disk.writes + 1, TORN), lambda: died.append(1)
+    disk.full, disk.strike, disk.kill_process = False, (disk.writes + 1, TORN), lambda: died.append(1)
     with pytest.raises(Killed):
         folder.append(handle, b"w" * 10)
     assert died and disk.files["ledger"].endswith(b"y" + b"w" * 5) and len(disk.files["ledger"]) == 517
@@ -288,10 +288,10 @@
     server.create_task(server.create_server(Echo, "h", 1))
     task = client.create_task(ask())
     clock.run(29.0)
-    server.stand(True)
+    server.set_paused(True)
     clock.run(40.0)
     assert task.done() and [text for _, text in heard] == [b"one", b"echo"] and 0.0 < heard[0][0] < 0.05
-    server.stand(False)
+    server.set_paused(False)
     clock.run(41.0)
     assert [text for _, text in heard][2:] == [b"two", b"echo"] and heard[2][0] == 40.0
 
--- a/tests/test_watch_bound.py
+++ b/tests/test_watch_bound.py
@@ -151,7 +151,7 @@
     @staticmethod
     def _state(network, host, state):
         if host.dark and state != "dark":
-            network.light(host)
+            network.restore(host)
         host.dark, host.refusing = state == "dark", state == "refuses"
         if state == "refuses":
             network.reset_all(host)
