--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -123,7 +123,7 @@
     for number in trouble.destinations:
         docs = [doc for doc in played.judge.docs.values() if doc.destination == number]
         seen = sorted((call for doc in docs for call in doc.calls), key=lambda call: call.at)
-        saw = played.world.destinations[number].saw
+        saw = played.world.destinations[number].observers
         calls, kind_of = [call.at for call in seen], kinds_of_calls(played.judge, seen, back, saw)
         first = 0
         for last, at in enumerate(calls):
--- a/birchstack/emulator/network.py
+++ b/birchstack/emulator/network.py
@@ -131,8 +131,7 @@
 
     def other(self) -> End:
         """Returns the other end of the connection."""
-        connection = self.connection
-        return connection.server if connection.client is self else connection.client
+        return self.connection.server if self.connection.client is self else self.connection.client
 
     def _send(self, data: bytes) -> None:
         connection = self.connection
--- a/birchstack/emulator/world.py
+++ b/birchstack/emulator/world.py
@@ -27,11 +27,11 @@
     message,
 )
 from birchstack.emulator.scenario import (
-    HARMS,
-    LISTS,
+    DEGRADATIONS,
+    LIST_CHANGES,
     OUTAGES,
-    SENDERS,
-    WRITES,
+    SENDER_TROUBLES,
+    WRITE_KILLS,
     DocumentType,
     Scenario,
     Trouble,
@@ -502,15 +502,15 @@
         import msgspec
 
         here = msgspec.structs.replace(trouble, at=moved)
-        if kind in OUTAGES or kind in HARMS:
+        if kind in OUTAGES or kind in DEGRADATIONS:
             for dest in self._struck(at, trouble):
                 dest.strike(here)
                 self._hosts_follow(dest)
                 self.stage.after(over_ms, self._heal, at, dest, here)
-        elif kind in LISTS:
+        elif kind in LIST_CHANGES:
             for dest in self._struck(at, trouble):
                 self._relist(dest, here)
-        elif kind in SENDERS:
+        elif kind in SENDER_TROUBLES:
             self._strike_senders(here)
         elif kind == "discovery_silent":
             for number in self._senders_of(trouble):
@@ -598,8 +598,8 @@
                 self.senders.term(number, DOWN_MS)
             elif kind == "kill":
                 self.senders.kill(number, DOWN_MS)
-            elif kind in WRITES:
-                self.senders.kill_at_write(number, int(size_of(trouble)), WRITES[kind], DOWN_MS)
+            elif kind in WRITE_KILLS:
+                self.senders.kill_at_write(number, int(size_of(trouble)), WRITE_KILLS[kind], DOWN_MS)
             elif kind == "stand_still":
                 self.judge.stands_still(self.stage.now_ms(), number)
                 self.senders.stand(number, True)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,7 +15,7 @@
 from birchstack.emulator.judge import Judge
 from birchstack.emulator.network import Network
 from birchstack.emulator.scenario import (
-    WRITES,
+    WRITE_KILLS,
     Cold,
     Group,
     Limit,
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("write", range(1, 13))
-@pytest.mark.parametrize("kind", WRITES)
+@pytest.mark.parametrize("kind", WRITE_KILLS)
 def test_a_kill_at_any_write_also_between_record_and_202_loses_nothing(kind, write):
     played = day(Trouble(kind=kind, at=4.0, senders=(0,), size=float(write)), senders=1)
     result = played.play()
@@ -298,7 +298,7 @@
 
 def test_a_breach_is_shrunk_to_the_one_trouble_that_matters():
     scenario = msgspec.structs.replace(
-        draw(3, most=1),
+        draw(3, max_troubles=1),
         troubles=(
             Trouble(kind="slow", at=3.0),
             Trouble(kind="kill", at=5.0, seconds=8.0),
--- a/tests/test_overflow.py
+++ b/tests/test_overflow.py
@@ -11,7 +11,7 @@
 
 from birchstack.backlog import settings
 from birchstack.backlog.maker import maker
-from birchstack.emulator.scenario import WRITES, DocumentType, Scenario, Trouble, draw
+from birchstack.emulator.scenario import WRITE_KILLS, DocumentType, Scenario, Trouble, draw
 from birchstack.emulator.virtual import VirtualDay
 
 ROOM = 64 << 20
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("write", [1, 2, 3, 5, 8, 13, 21, 34])
-@pytest.mark.parametrize("kind", WRITES)
+@pytest.mark.parametrize("kind", WRITE_KILLS)
 def test_a_kill_at_a_write_loses_nothing_that_waits_on_disk(kind, write):
     """Once while the backlog fills (5 s), once while it drains after the endpoint's return (10 s)."""
     kills = tuple(Trouble(kind=kind, at=at, senders=(0,), size=float(write)) for at in (5.0, 10.0))
