--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -116,7 +116,7 @@
     played = VirtualDay(scenario, seed)
     result = played.play()
     trouble = scenario.troubles[0]
-    back = played.world._began + (trouble.at + trouble.seconds) * 1000.0
+    back = played.world._load_started_ms + (trouble.at + trouble.seconds) * 1000.0
     usual = scenario.clients.per_second / len(played.world.destinations)
     windows, over, by_told, worst, where, drain, left = 0, 0, 0, 0.0, 0.0, [], 0
     bound, kinds = 0.0, Counter()
--- a/birchstack/emulator/rig/parties.py
+++ b/birchstack/emulator/rig/parties.py
@@ -143,7 +143,7 @@
         self.gone = True
         self.port.abort()
 
-    def asked(self, method: str, target: str, fields: dict[str, str], body: bytes) -> None:
+    def request_received(self, method: str, target: str, fields: dict[str, str], body: bytes) -> None:
         lists = self._lists
         if method == "POST" and target == "/v1/notices":
             for line in body.splitlines():
@@ -230,7 +230,7 @@
         super().__init__()
         self._endpoints, self._uid, self._caller = endpoints, uid, caller
 
-    def asked(self, method: str, target: str, fields: dict[str, str], body: bytes) -> None:
+    def request_received(self, method: str, target: str, fields: dict[str, str], body: bytes) -> None:
         told = self._endpoints
         status = told.status.get(self._uid, 200)
         if self._uid in told.flaky and told.chance.random() < told.flaky[self._uid]:
--- a/birchstack/emulator/sockets.py
+++ b/birchstack/emulator/sockets.py
@@ -293,7 +293,7 @@
         self._day.left_out["a struck write became kill -9"] += 1
         self.kill(number, down_ms)
 
-    def stand(self, number: int, still: bool) -> None:
+    def set_paused(self, number: int, still: bool) -> None:
         self._day.processes[number].signal(signal.SIGSTOP if still else signal.SIGCONT)
 
     def fill_disk(self, number: int, full: bool) -> None:
@@ -334,7 +334,7 @@
     async def play(self, progress=None) -> Result:
         began, spent = time.monotonic(), time.process_time()
         try:
-            self.world.begin()
+            self.world.start()
             await asyncio.sleep(0.1)  # the listeners stand
             for process in self.processes:
                 await process.start()
@@ -342,8 +342,8 @@
                 await asyncio.wait_for(self._opened.wait(), READY_S)
             except TimeoutError:
                 raise SocketError("the senders are not ready: " + " | ".join([*self.lines][-3:])) from None
-            self.world.open()
-            until = self.scenario.seconds + self.world.rest_ms() / 1000.0
+            self.world.start_load()
+            until = self.scenario.seconds + self.world.settle_ms() / 1000.0
             at = 0.0
             while at < until:
                 await asyncio.sleep(min(0.5, until - at))
@@ -356,7 +356,7 @@
         finally:
             await self._end()
         figures = Counter(self.judge.counts)
-        figures["connections opened by senders"] = self.world.connections
+        figures["connections opened by senders"] = self.world.connections_opened
         figures["most memory of a sender, MB"] = round(max(process.peak_mb for process in self.processes))
         figures.update({f"not played: {what}": many for what, many in self.left_out.items()})
         memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -200,7 +200,7 @@
     def kill_at_write(self, number: int, write: int, how: str, down_ms: float) -> None:
         self._process(number).strike_write(write, how, down_ms)
 
-    def stand(self, number: int, still: bool) -> None:
+    def set_paused(self, number: int, still: bool) -> None:
         if not self._process(number).loop.dead:
             self._process(number).loop.set_paused(still)
 
@@ -247,7 +247,7 @@
         self.judge = Judge(scenario, keep_log)
         self.world = World(scenario, seed, Stage(self.clock, self.network), self.judge)
         self.world.senders = Senders(self)
-        self.network.on_refused = lambda name, host: self.world.refused(int(name), host.name)
+        self.network.on_refused = lambda name, host: self.world.connection_refused(int(name), host.name)
         self.processes = [Process(self, number) for number in range(scenario.senders)]
         self.stepped_ms, self.names = 0.0, 0
         self._ready: set[int] = set()
@@ -257,7 +257,7 @@
         if len(self._ready) < self.scenario.senders:
             self._ready.add(number)
             if len(self._ready) == self.scenario.senders:
-                self.world.open()
+                self.world.start_load()
 
     def play(self, progress=None) -> Result:
         """progress(part) is told how much of the day is over, now and then."""
@@ -269,10 +269,10 @@
         logger.propagate = False
         sender_log.violations.clear()
         try:
-            self.world.begin()
+            self.world.start()
             for process in self.processes:
                 process.start()
-            until = self.scenario.seconds + 1.0 + self.world.rest_ms() / 1000.0
+            until = self.scenario.seconds + 1.0 + self.world.settle_ms() / 1000.0
             at = 0.0
             while at < until:
                 at = min(until, at + max(1.0, until / 50.0))
@@ -286,7 +286,7 @@
         self.judge.finish(self.clock.now_ms())
         spent = time.process_time() - began
         figures = Counter(self.judge.counts)
-        figures["connections opened by senders"] = self.world.connections
+        figures["connections opened by senders"] = self.world.connections_opened
         figures["events"] = self.clock.events_scheduled
         figures["most descriptors"] = max(self.network.peak_connections.values(), default=0)
         figures["most bytes on disk"] = max(process.disk.peak_bytes for process in self.processes)
