--- a/birchstack/emulator/destinations.py
+++ b/birchstack/emulator/destinations.py
@@ -119,7 +119,8 @@
 
     def schedule(self, now: float, duration_ms: float) -> float | None:
         """Accepts a call and returns the time at which it begins, or None if the queue is full."""
-        group, ends = self.destination.group, self._ends
+        group = self.destination.group
+        ends = self._ends
         while ends and ends[0] <= now:
             heapq.heappop(ends)
         if len(ends) >= group.places + group.queue:
@@ -292,7 +293,8 @@
         share = self.capacity_share(now)
         if self.recovered_at is None or self.down(now):  # warm, or down
             return False
-        cold, calls = self._cold, self._recent_calls
+        cold = self._cold
+        calls = self._recent_calls
         calls.append((now, sender))
         while calls[0][0] <= now - cold.for_ms:
             calls.popleft()
@@ -300,7 +302,8 @@
             return False
         from_observers = sum(caller in self.observers for _, caller in calls)
         self.overloads.append(Overload(now, from_observers, len(calls)))
-        self.overloaded_until, self.recovered_at = now + cold.fallen_ms, None
+        self.overloaded_until = now + cold.fallen_ms
+        self.recovered_at = None
         calls.clear()
         return True
 
--- a/birchstack/emulator/network.py
+++ b/birchstack/emulator/network.py
@@ -44,8 +44,8 @@
         "dark",
         "connections",
         "name",
-        "forgets_ms",
-        "forgets_silently",
+        "idle_drop_ms",
+        "idle_drop_silent",
         "process",
         "where",
     )
@@ -58,8 +58,8 @@
         self.process = process
         self.refusing = False  # no process listens: connections are refused
         self.dark = False  # the machine is cut off: nothing reaches or leaves it
-        self.forgets_ms = 0.0  # a device on the path drops connections that were idle for so long; 0: none
-        self.forgets_silently = False  # without a reset to the end that connected
+        self.idle_drop_ms = 0.0  # a device on the path drops connections that were idle for so long; 0: none
+        self.idle_drop_silent = False  # without a reset to the end that connected
         self.connections: dict[Connection, None] = {}
         self.where: Address | None = None
 
@@ -106,9 +106,10 @@
 
     def drop_if_idle(self) -> None:
         """Applies the idle time-out of a device on the path, which takes effect at the next byte."""
-        host, clock = self.host, self.network.clock
-        if host.forgets_ms and (clock.now - self.last_byte_at) * 1000.0 >= host.forgets_ms:
-            if not host.forgets_silently:
+        host = self.host
+        clock = self.network.clock
+        if host.idle_drop_ms and (clock.now - self.last_byte_at) * 1000.0 >= host.idle_drop_ms:
+            if not host.idle_drop_silent:
                 clock.after(self.latency_s * 1000.0, self.client.reset_received)
             self.server.reset_received()
             self.dropped = True
--- a/birchstack/emulator/peers.py
+++ b/birchstack/emulator/peers.py
@@ -153,8 +153,10 @@
 
     def on_message_complete(self) -> None:
         """Handles the complete request."""
-        method, body = self._parser.get_method().decode(), b"".join(self._body)
-        target, fields = self.target, self.fields
+        method = self._parser.get_method().decode()
+        body = b"".join(self._body)
+        target = self.target
+        fields = self.fields
         self._clear()
         self.request_received(method, target, fields, body)
 
@@ -286,7 +288,8 @@
             self._world.judge.ran(self._world.stage.now_ms(), call)
 
     def _answer(self, call: CallSeen, verdict: Verdict, epoch: int) -> None:
-        world, now = self._world, self._world.stage.now_ms()
+        world = self._world
+        now = self._world.stage.now_ms()
         if call is not self._call or epoch != self.endpoint.epoch or world.unreachable(self):
             return
         delay_ms = world.answer_delay_ms(self.endpoint.destination, now)
@@ -305,7 +308,8 @@
             if verdict.report:
                 fields["Server-Load"] = "TEXT x0={:.3f}, x1={:.2f}".format(*verdict.report)
             response = message(status, fields)
-        self._call, self._last_answer = None, (call, now)
+        self._call = None
+        self._last_answer = (call, now)
         world.call_ended(call, self.endpoint)
         world.judge.answer(
             now, call, status, verdict.wait_ms, world.max_latency_ms(), verdict.answer == SPOILT
@@ -466,7 +470,9 @@
 
     def on_message_complete(self) -> None:
         """Handles the complete response."""
-        status, wait_ms, self._retry_after_ms = self._parser.get_status_code(), self._retry_after_ms, 0.0
+        status = self._parser.get_status_code()
+        wait_ms = self._retry_after_ms
+        self._retry_after_ms = 0.0
         submission, self.submission = self.submission, None
         if submission is not None:
             self._pool.answered(
--- a/birchstack/emulator/sockets.py
+++ b/birchstack/emulator/sockets.py
@@ -47,7 +47,7 @@
     def __init__(self, stage: Stage, where: tuple[str, int], name: str, accept: Callable[[], object]) -> None:
         self._stage, self.where, self.name, self._accept = stage, where, name, accept
         self.refusing = self.dark = False
-        self.forgets_ms, self.forgets_silently = 0.0, False
+        self.idle_drop_ms, self.idle_drop_silent = 0.0, False
         self.ends: dict[End, None] = {}
         self._server: asyncio.Server | None = None
         self.listen()
@@ -106,7 +106,7 @@
 
     def data_received(self, data: bytes) -> None:
         host, now = self._host, self._stage.now_ms()
-        if host and host.forgets_ms and now - self._heard_at >= host.forgets_ms:
+        if host and host.idle_drop_ms and now - self._heard_at >= host.idle_drop_ms:
             self.abort()
             return
         self._heard_at = now
--- a/birchstack/emulator/world.py
+++ b/birchstack/emulator/world.py
@@ -132,7 +132,8 @@
         total = sum(group.weight for group in self._groups)
         self._destination_weights = list(accumulate(group.weight for group in self._groups))
         self._type_weights = list(accumulate(each.share for each in self.scenario.types))
-        rng, uneven = random.Random(f"parts {self._seed}"), self.scenario.clients.uneven
+        rng = random.Random(f"parts {self._seed}")
+        uneven = self.scenario.clients.uneven
         self._sender_weights = (
             []
             if not uneven
@@ -156,7 +157,8 @@
 
     def config(self, sender: int, state: str) -> dict:
         """Returns the configuration of a sender."""
-        scenario, settings = self.scenario, self.scenario.sender
+        scenario = self.scenario
+        settings = self.scenario.sender
         services = []
         for each in scenario.types:
             services.append(
@@ -252,14 +254,18 @@
         self.stage.after(self._rng.expovariate(rate) * 1000.0, self._submit_next)
 
     def _new_document(self) -> None:
-        rng, now = self._rng, self.stage.now_ms()
-        types, weights = self._type_weights, self._destination_weights
+        rng = self._rng
+        now = self.stage.now_ms()
+        types = self._type_weights
+        weights = self._destination_weights
         doc_type = self.scenario.types[min(bisect(types, rng.random() * types[-1]), len(types) - 1)]
         destination = min(bisect(weights, rng.random() * weights[-1]), len(weights) - 1)
-        key, sender = None, self._pick_sender()
+        key = None
+        sender = self._pick_sender()
         if doc_type.in_order:
             number = rng.randrange(doc_type.keys)
-            key, sender = f"k{number}", number % self.scenario.senders
+            key = f"k{number}"
+            sender = number % self.scenario.senders
             destination = number % len(self.destinations)
         body = rng.randbytes(rng.randint(*self.scenario.clients.sizes))
         self._documents_created += 1
@@ -307,7 +313,8 @@
 
         Nothing is scheduled when the client has made all its resubmissions.
         """
-        document, clients = submission.document, self.scenario.clients
+        document = submission.document
+        clients = self.scenario.clients
         if document.resubmissions >= clients.returns:
             return
         document.resubmissions += 1
@@ -321,7 +328,8 @@
             return
         name = self._rng.choice([*BAD_REQUESTS])
         sender = self._rng.choice(self._affected_senders(trouble))
-        started_at, results = self.stage.now_ms(), []
+        started_at = self.stage.now_ms()
+        results = []
 
         def on_result(status: int) -> None:
             if not results:
@@ -353,7 +361,8 @@
             address = divmod(self._addresses_assigned, 250)
             address = address[0], address[1] + 1  # the last byte is 1 to 250
         self._address_numbers[uid] = address
-        self.endpoints[uid], self.peers[uid] = endpoint, {}
+        self.endpoints[uid] = endpoint
+        self.peers[uid] = {}
         self._entries[uid] = {
             "uid": uid,
             "az": "a",
@@ -383,7 +392,8 @@
         self, peer: EndpointPeer, doc_id: str, body: bytes, sender: int, setup_ms: float
     ) -> tuple[CallSeen | None, Verdict | None]:
         """Reports a call to the judge and its destination; returns None twice for an unknown document."""
-        now, endpoint = self.stage.now_ms(), peer.endpoint
+        now = self.stage.now_ms()
+        endpoint = peer.endpoint
         dest = endpoint.destination
         call = self.judge.call(now, sender, doc_id, endpoint.uid, dest.number, body)
         if call is None:
@@ -541,7 +551,8 @@
         return list(trouble.senders) if trouble.senders is not None else list(range(self.scenario.senders))
 
     def _start_trouble(self, index: int, trouble: Trouble) -> None:
-        kind, duration_ms = trouble.kind, trouble.seconds * 1000.0
+        kind = trouble.kind
+        duration_ms = trouble.seconds * 1000.0
         self.judge.note(self.stage.now_ms(), None, f"trouble {index} begins: {kind}")
         started_at = self.stage.now_ms() / 1000.0  # on the stage's clock; the scenario's starts with the load
         import msgspec
@@ -595,8 +606,8 @@
                         peer.mark_last_answer_broken()
                 if dark != host.dark:
                     self.stage.darken(host, dark)
-                host.forgets_ms = size_of(idle) if idle else 0.0
-                host.forgets_silently = bool(idle and idle.share > 0.5)
+                host.idle_drop_ms = size_of(idle) if idle else 0.0
+                host.idle_drop_silent = bool(idle and idle.share > 0.5)
 
     def _end_endpoint_process(self, endpoint: Endpoint) -> None:
         endpoint.restart()
@@ -637,7 +648,8 @@
             self._apply_host_troubles(dest)
 
     def _start_sender_trouble(self, trouble: Trouble) -> None:
-        kind, duration_ms = trouble.kind, trouble.seconds * 1000.0
+        kind = trouble.kind
+        duration_ms = trouble.seconds * 1000.0
         if kind == "clock_step":
             self.senders.step_clock(size_of(trouble))
             return
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -118,10 +118,8 @@
 
 @pytest.mark.parametrize("seconds", [-60.0, 60.0, 86400.0])
 def test_a_step_of_the_wall_clock_before_a_restart_moves_no_expiry(seconds):
-    silent, kill = (
-        Trouble(kind="silent", at=2.0, seconds=9.0, destinations=(0, 1, 2, 3)),
-        Trouble(kind="kill", at=5.1),
-    )
+    silent = Trouble(kind="silent", at=2.0, seconds=9.0, destinations=(0, 1, 2, 3))
+    kill = Trouble(kind="kill", at=5.1)
     played = scenario_run(silent, Trouble(kind="clock_step", at=5.0, size=seconds), kill)
     result = played.play()
     assert not result.breaches, result.text_of_breaches()
@@ -183,7 +181,8 @@
     ],
 )
 def test_rate_limits_accept_the_calls_that_they_state(limit, max_taken):
-    limiter, taken = RateLimiter(limit), 0
+    limiter = RateLimiter(limit)
+    taken = 0
     for at in range(0, 1000, 10):
         accepted, wait = limiter.take(float(at))
         taken += accepted
@@ -257,7 +256,8 @@
 
 def test_a_full_disk_refuses_writes_and_a_torn_write_leaves_half():
     disk = Disk()
-    folder, killed = MemoryFolder(disk), []
+    folder = MemoryFolder(disk)
+    killed = []
     handle = folder.open("ledger")
     folder.append(handle, b"x" * 100)
     disk.full = True
@@ -280,7 +280,8 @@
 
     class Echo(asyncio.BufferedProtocol):
         def connection_made(self, transport):
-            self.transport, self.buffer = transport, bytearray(100)
+            self.transport = transport
+            self.buffer = bytearray(100)
 
         def get_buffer(self, sizehint):
             return self.buffer
