--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -116,14 +116,14 @@
     played = VirtualDay(scenario, seed)
     result = played.play()
     trouble = scenario.troubles[0]
-    back = played.world._began + (trouble.at + trouble.seconds) * 1000.0
+    back = played.world._load_started_ms + (trouble.at + trouble.seconds) * 1000.0
     usual = scenario.clients.per_second / len(played.world.destinations)
     windows, over, by_told, worst, where, drain, left = 0, 0, 0, 0.0, 0.0, [], 0
     bound, kinds = 0.0, Counter()
     for number in trouble.destinations:
         docs = [doc for doc in played.judge.docs.values() if doc.destination == number]
         seen = sorted((call for doc in docs for call in doc.calls), key=lambda call: call.at)
-        saw = played.world.destinations[number].saw
+        saw = played.world.destinations[number].observers
         calls, kind_of = [call.at for call in seen], kinds_of_calls(played.judge, seen, back, saw)
         first = 0
         for last, at in enumerate(calls):
