--- a/birchstack/cli.py
+++ b/birchstack/cli.py
@@ -1,7 +1,7 @@
-"""The command `birchstack`: sub-commands, their options and how results are shown.
+"""The command `birchstack`: its sub-commands, their options and the output.
 
-Owns the words of the command line. Must never hold logic of its own, and imports what a command needs only
-when that command runs: `python -m birchstack` (deploy/balancer.toml) does not come here at all.
+Each sub-command imports what it needs when it runs. `python -m birchstack` (deploy/balancer.toml) does not
+use this module.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 
 from birchstack.cli_fleet import fleet, keeper
 
-BROKEN = 3  # status: a rule was broken
+VIOLATION_STATUS = 3  # exit status if a rule was violated
 
 
 def _console():
+    """Returns the console for tables and progress; imported only here, as it loads slowly."""
     from rich.console import Console
 
     return Console()
 
 
-def _scenario(text: str):
+def _load_scenario(text: str):
+    """Returns the scenario of a TOML file, or the one drawn for "drawn:N"."""
     from birchstack.emulator import scenario
 
     try:
@@ -41,10 +43,10 @@
 
 @main.command()
 def run() -> None:
-    """Run one sender, as BALANCER_CONFIG tells it (the same as python -m birchstack)."""
-    from birchstack.__main__ import main as sender
+    """Run one sender, configured by BALANCER_CONFIG (the same as python -m birchstack)."""
+    from birchstack.__main__ import main as run_sender
 
-    sys.exit(sender())
+    sys.exit(run_sender())
 
 
 @main.command()
@@ -54,20 +56,26 @@
     "virtual",
     default=True,
     show_default=True,
-    help="In virtual time, or on loopback against real processes by the line `run`.",
+    help="In virtual time, or on loopback sockets with real processes started by the deploy file's `run`.",
+)
+@click.option("--seed", default=1, show_default=True, help="Seed of all random draws.")
+@click.option("--port", default=7400, show_default=True, help="Port of every address; only with --sockets.")
+@click.option(
+    "--log", type=click.Path(dir_okay=False, path_type=Path), help="File for the log of all events."
 )
-@click.option("--seed", default=1, show_default=True, help="Of all chance in the day.")
-@click.option("--port", default=7400, show_default=True, help="On sockets: the port of every address.")
-@click.option("--log", type=click.Path(dir_okay=False, path_type=Path), help="Write every event there.")
 def emulate(scenario: str, virtual: bool, seed: int, port: int, log: Path | None) -> None:
-    """Play one day and show its table. SCENARIO is a TOML file, or drawn:N for troubles drawn from a seed.
+    """Run one scenario and print its results.
+
+    SCENARIO is a TOML file, or drawn:N for faults drawn from a seed.
 
-    Ends with status 3 if a rule was broken."""
+    The exit status is 3 if a rule was violated.
+    """
     from rich.progress import Progress
 
-    told, console = _scenario(scenario), _console()
+    loaded = _load_scenario(scenario)
+    console = _console()
     with Progress(console=console, transient=True) as bar:
-        task = bar.add_task(told.name, total=1.0)
+        task = bar.add_task(loaded.name, total=1.0)
 
         def progress(part: float) -> None:
             bar.update(task, completed=part)
@@ -75,12 +83,12 @@
         if virtual:
             from birchstack.emulator.virtual import play
 
-            result = play(told, seed, log is not None, progress)
+            result = play(loaded, seed, log is not None, progress)
         else:
             from birchstack.emulator import sockets
 
             try:
-                result = sockets.play(told, seed, port, None, log is not None, progress)
+                result = sockets.play(loaded, seed, port, None, log is not None, progress)
             except sockets.SocketError as problem:
                 raise click.ClickException(str(problem)) from problem
     result.repeat = f"birchstack emulate {scenario} --seed {seed}" + (
@@ -89,27 +97,29 @@
     if log is not None:
         log.write_text("".join(f"{line}\n" for line in result.log or ()))
     result.show(console)
-    sys.exit(BROKEN if result.breaches else 0)
+    sys.exit(VIOLATION_STATUS if result.breaches else 0)
 
 
 @main.command()
-@click.option("--seeds", default=100, show_default=True, help="How many days at most.")
-@click.option("--first", default=0, show_default=True, help="The first seed.")
-@click.option("--seconds", default=300.0, show_default=True, help="How long at most, in real time.")
-@click.option("--most", default=3, show_default=True, help="Troubles in a day at most; they may overlap.")
-@click.option("--kind", "kinds", multiple=True, help="Only troubles of this kind; may be given again.")
-@click.option("--base", type=click.Path(exists=True), help="A scenario whose troubles are drawn anew.")
-@click.option("--cores", type=int, help="Workers; all cores by default.")
+@click.option("--seeds", default=100, show_default=True, help="Maximum number of runs.")
+@click.option("--first", default=0, show_default=True, help="First seed.")
+@click.option("--seconds", default=300.0, show_default=True, help="Maximum real time.")
+@click.option(
+    "--most", default=3, show_default=True, help="Maximum number of faults in a run; they may overlap."
+)
+@click.option("--kind", "kinds", multiple=True, help="Only faults of this kind; may be repeated.")
+@click.option(
+    "--base", type=click.Path(exists=True), help="Scenario whose faults are replaced by drawn ones."
+)
+@click.option("--cores", type=int, help="Number of workers; all cores by default.")
 @click.option(
     "--folder",
     default="found",
     show_default=True,
     type=click.Path(file_okay=False, path_type=Path),
-    help="Where breaches are written as scenarios.",
-)
-@click.option(
-    "--shrink/--no-shrink", default=True, show_default=True, help="Look for the least that still breaks."
+    help="Folder for the scenarios of failing runs.",
 )
+@click.option("--shrink/--no-shrink", default=True, show_default=True, help="Reduce each failing scenario.")
 def explore(
     seeds: int,
     first: int,
@@ -121,7 +131,10 @@
     folder: Path,
     shrink: bool,
 ) -> None:
-    """Play many days with drawn troubles, and shrink each breach. Ends with status 3 if there was one."""
+    """Run many seeds with drawn faults and shrink each failing case.
+
+    The exit status is 3 if there was one.
+    """
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
     from birchstack.emulator import explore as search
@@ -148,7 +161,7 @@
             first,
             seeds,
             seconds,
-            _scenario(base) if base else None,
+            _load_scenario(base) if base else None,
             most,
             kinds or KINDS,
             cores,
@@ -156,11 +169,12 @@
             shrink,
             progress,
         )
-    _show_found(console, found)
-    sys.exit(BROKEN if found.breaches else 0)
+    _print_found(console, found)
+    sys.exit(VIOLATION_STATUS if found.breaches else 0)
 
 
-def _show_found(console, found) -> None:
+def _print_found(console, found) -> None:
+    """Prints the totals of a search and its failing cases."""
     from rich.table import Table
 
     table = Table("days", "virtual time", "times life", "value, mean", "value, least", "days with a breach")
@@ -168,7 +182,7 @@
     table.add_row(
         str(found.played),
         f"{found.seconds:.0f} s",
-        f"{found.seconds / max(found.spent, 0.01):.0f}",
+        f"{found.seconds / max(found.elapsed_s, 0.01):.0f}",
         f"{sum(shares) / len(shares):.3f}",
         f"{min(shares):.3f}",
         str(len(found.breaches)),
--- a/birchstack/emulator/explore.py
+++ b/birchstack/emulator/explore.py
@@ -1,7 +1,7 @@
-"""Search: many seeds with drawn troubles across cores, and each breach shrunk to the least that still breaks.
+"""Randomized search for rule violations: runs many seeds with drawn faults on all cores.
 
-Owns the pool of workers, the count and time used up, and the files of what was found. Must never judge. The
-same seeds bring the same breaches whatever the number of cores.
+Each failing case is shrunk to the smallest scenario found that still fails. The same seeds give the same
+violations whatever the number of cores.
 """
 
 from __future__ import annotations
@@ -19,98 +19,118 @@
 from birchstack.emulator.scenario import KINDS, Scenario, draw, dump
 from birchstack.emulator.virtual import play
 
-DAY_S = 60  # of real time for one day; more is a standstill, and a breach
-SHRINKS = 60  # days played to shrink one breach, at most
+RUN_TIMEOUT_S = 60  # real time of one run; a longer one counts as a hang and is reported as a violation
+MAX_SHRINK_RUNS = 60  # runs to shrink one failing case
 
 
 @dataclass(slots=True)
 class Outcome:
+    """The result of one run with drawn faults."""
+
     seed: int
     share: float
     rules: dict[str, int]
     kinds: tuple[str, ...]
     seconds: float
-    failed: str = ""  # an exception of the emulator or a standstill
-    scenario: Scenario | None = None  # the shrunk one
+    failed: str = ""  # an exception of the emulator, or a hang
+    scenario: Scenario | None = None  # the scenario that fails, shrunk if requested
     text: str = ""
     path: str = ""
 
 
 @dataclass(slots=True)
 class Found:
+    """Totals of a search, and the runs that violated a rule."""
+
     played: int = 0
-    seconds: float = 0.0  # of virtual time
-    spent: float = 0.0  # of real time
+    seconds: float = 0.0  # virtual time
+    elapsed_s: float = 0.0  # real time
     shares: list[float] = field(default_factory=list)
-    rules: Counter = field(default_factory=Counter)  # days on which each rule was broken
-    kinds: Counter = field(default_factory=Counter)  # days with each kind of trouble
+    rules: Counter = field(default_factory=Counter)  # runs that violated each rule
+    kinds: Counter = field(default_factory=Counter)  # runs with each kind of fault
     breaches: list[Outcome] = field(default_factory=list)
 
 
-def _days(scenario: Scenario, seed: int) -> Counter:
+def _count_violations(scenario: Scenario, seed: int) -> Counter:
+    """Runs a scenario and returns the number of violations by rule."""
     return Counter(breach.rule for breach in play(scenario, seed).breaches)
 
 
-def _cut(scenario: Scenario) -> list[Scenario]:
-    """Scenarios that are a little less: without a trouble, shorter, with shorter troubles."""
-    replace, troubles = msgspec.structs.replace, scenario.troubles
-    less = [replace(scenario, troubles=troubles[:at] + troubles[at + 1 :]) for at in range(len(troubles))]
+def _smaller_scenarios(scenario: Scenario) -> list[Scenario]:
+    """Returns reduced scenarios: with one fault less, shorter, or with one fault shorter."""
+    replace = msgspec.structs.replace
+    troubles = scenario.troubles
+    smaller = [
+        replace(scenario, troubles=troubles[:index] + troubles[index + 1 :]) for index in range(len(troubles))
+    ]
     if scenario.seconds > 4.0:
         seconds = round(scenario.seconds * 0.7, 1)
-        less.append(
+        smaller.append(
             replace(scenario, seconds=seconds, troubles=tuple(each for each in troubles if each.at < seconds))
         )
-    for at, trouble in enumerate(troubles):
+    for index, trouble in enumerate(troubles):
         if trouble.seconds > 0.5:
             shorter = replace(trouble, seconds=round(trouble.seconds / 2.0, 2))
-            less.append(replace(scenario, troubles=troubles[:at] + (shorter,) + troubles[at + 1 :]))
-    return less
+            smaller.append(replace(scenario, troubles=troubles[:index] + (shorter,) + troubles[index + 1 :]))
+    return smaller
 
 
 def shrink(
-    scenario: Scenario, seed: int, rule: str, days: Callable[[Scenario, int], Counter] = _days
+    scenario: Scenario,
+    seed: int,
+    rule: str,
+    count_violations: Callable[[Scenario, int], Counter] = _count_violations,
 ) -> Scenario:
-    """The least scenario found that still breaks the same rule with the same seed, within SHRINKS days."""
-    left, tried = SHRINKS, True
-    while tried and left > 0:
-        tried = False
-        for less in _cut(scenario):
-            left -= 1
-            if rule in days(less, seed):
-                scenario, tried = less, True
+    """Returns the smallest scenario found that still violates the rule, within MAX_SHRINK_RUNS runs."""
+    runs_left = MAX_SHRINK_RUNS
+    reduced = True
+    while reduced and runs_left > 0:
+        reduced = False
+        for smaller in _smaller_scenarios(scenario):
+            runs_left -= 1
+            if rule in count_violations(smaller, seed):
+                scenario = smaller
+                reduced = True
                 break
-            if left <= 0:
+            if runs_left <= 0:
                 break
     return scenario
 
 
-def one(seed: int, base: Scenario | None, most: int, kinds: tuple[str, ...], shrinks: bool) -> Outcome:
-    """Plays one drawn day; in a worker."""
+def run_one(
+    seed: int, base: Scenario | None, max_troubles: int, kinds: tuple[str, ...], shrinks: bool
+) -> Outcome:
+    """Runs one scenario with faults drawn from the seed, in a worker process; shrinks it if it fails."""
     import signal
 
-    def standstill(*words: object) -> None:
-        raise TimeoutError(f"a day takes more than {DAY_S} s: time stands still")
+    def raise_timeout(*arguments: object) -> None:
+        raise TimeoutError(f"a run takes more than {RUN_TIMEOUT_S} s: virtual time does not advance")
 
-    scenario = draw(seed, base, most, kinds)
-    named = tuple(each.kind for each in scenario.troubles)
-    signal.signal(signal.SIGALRM, standstill)
-    signal.alarm(DAY_S)
+    scenario = draw(seed, base, max_troubles, kinds)
+    drawn_kinds = tuple(each.kind for each in scenario.troubles)
+    signal.signal(signal.SIGALRM, raise_timeout)
+    signal.alarm(RUN_TIMEOUT_S)
     try:
         result = play(scenario, seed)
     except Exception as problem:
         return Outcome(
-            seed, 0.0, {"emulator": 1}, named, 0.0, f"{type(problem).__name__}: {problem}", scenario
+            seed, 0.0, {"emulator": 1}, drawn_kinds, 0.0, f"{type(problem).__name__}: {problem}", scenario
         )
     finally:
         signal.alarm(0)
     outcome = Outcome(
-        seed, result.share, dict(Counter(breach.rule for breach in result.breaches)), named, result.seconds
+        seed,
+        result.share,
+        dict(Counter(breach.rule for breach in result.breaches)),
+        drawn_kinds,
+        result.seconds,
     )
     if result.breaches:
-        small = shrink(scenario, seed, result.breaches[0].rule) if shrinks else scenario
-        again = play(small, seed)
-        again.repeat = f"birchstack emulate FOLDER/seed-{seed}.toml --seed {seed}"
-        outcome.scenario, outcome.text = small, again.text_of_breaches()
+        smallest = shrink(scenario, seed, result.breaches[0].rule) if shrinks else scenario
+        repeated = play(smallest, seed)
+        repeated.repeat = f"birchstack emulate FOLDER/seed-{seed}.toml --seed {seed}"
+        outcome.scenario = smallest
+        outcome.text = repeated.text_of_breaches()
     return outcome
 
 
@@ -119,18 +139,21 @@
     count: int,
     seconds: float,
     base: Scenario | None = None,
-    most: int = 3,
+    max_troubles: int = 3,
     kinds: tuple[str, ...] = KINDS,
     cores: int | None = None,
     folder: Path | None = None,
     shrinks: bool = True,
     progress: Callable[[Found, int], None] | None = None,
 ) -> Found:
-    """Plays seeds first, first+1, ... until the count or the time is used up.
-
-    Breaches are shrunk and written into the folder as scenario files; each Outcome has the command that plays
-    it again."""
-    began, found, seed = time.monotonic(), Found(), first
+    """Runs seeds first, first+1, ... until the count or the time is used up.
+
+    Scenarios that violate a rule are shrunk and written to the folder; each Outcome has the command that
+    repeats its run.
+    """
+    began = time.monotonic()
+    found = Found()
+    seed = first
     with ProcessPoolExecutor(cores or os.cpu_count()) as pool:
         running = set()
         while True:
@@ -139,21 +162,22 @@
                 and seed < first + count
                 and time.monotonic() - began < seconds
             ):
-                running.add(pool.submit(one, seed, base, most, kinds, shrinks))
+                running.add(pool.submit(run_one, seed, base, max_troubles, kinds, shrinks))
                 seed += 1
             if not running:
                 break
             done, running = wait(running, return_when=FIRST_COMPLETED)
             for each in done:
-                _count(found, each.result(), folder)
+                _add_outcome(found, each.result(), folder)
                 if progress:
                     progress(found, count)
-    found.spent = time.monotonic() - began
+    found.elapsed_s = time.monotonic() - began
     found.breaches.sort(key=lambda each: each.seed)
     return found
 
 
-def _count(found: Found, outcome: Outcome, folder: Path | None) -> None:
+def _add_outcome(found: Found, outcome: Outcome, folder: Path | None) -> None:
+    """Adds an outcome to the totals and writes its scenario if it violated a rule."""
     found.played += 1
     found.seconds += outcome.seconds
     found.shares.append(outcome.share)
--- a/birchstack/emulator/result.py
+++ b/birchstack/emulator/result.py
@@ -1,6 +1,6 @@
-"""What a day brought: figures, breaches and stories, as values, text and a table.
+"""The result of an emulator run: figures, rule violations and document events, as values, text and a table.
 
-Owns the wording of results. Must never judge: the judge did.
+It only formats them; the rules are checked in judge.py.
 """
 
 from __future__ import annotations
@@ -14,30 +14,36 @@
 if TYPE_CHECKING:
     from birchstack.emulator.scenario import Scenario
 
-MOST_SHOWN = 5  # breaches told with their whole story
+MAX_EVENT_LISTS = 5  # breaches that are printed with all events of their document
 
 
-def percentile(values: list[float], part: float) -> float:
+def percentile(values: list[float], fraction: float) -> float:
+    """Returns the value at a fraction of the sorted values, or 0 if there are none."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(len(ordered) * part))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))] if ordered else 0.0
 
 
 @dataclass(slots=True)
 class Result:
+    """Figures, rule violations and document events of one run.
+
+    stage is the environment that it ran in: "virtual" or "sockets".
+    """
+
     name: str
     seed: int
     stage: str
-    share: float  # value delivered over value asked for
+    share: float  # value delivered over value submitted
     breaches: list[Breach]
     figures: dict[str, int]
-    seconds: float  # played
-    spent: float  # seconds of CPU that it took
+    seconds: float  # simulated
+    cpu_s: float  # CPU time of the run
     memory_mb: float
     median_ms: float
     p99_ms: float
     stories: dict[str, list[str]] = field(default_factory=dict)
     log: list[str] | None = None
-    repeat: str = ""  # the command that plays it again
+    repeat: str = ""  # the command that reproduces the run
 
     @classmethod
     def of(
@@ -48,10 +54,11 @@
         judge: Judge,
         figures: Counter,
         seconds: float,
-        spent: float,
+        cpu_s: float,
         memory_mb: float,
     ) -> Result:
-        times = judge.ms_to_deliver
+        """Returns the result of a finished run."""
+        delivery_ms = judge.ms_to_deliver
         stories = {breach.doc: judge.docs[breach.doc].lines for breach in judge.breaches[:50] if breach.doc}
         return cls(
             scenario.name,
@@ -61,22 +68,23 @@
             judge.breaches,
             dict(sorted(figures.items())),
             seconds,
-            spent,
+            cpu_s,
             memory_mb,
-            percentile(times, 0.5),
-            percentile(times, 0.99),
+            percentile(delivery_ms, 0.5),
+            percentile(delivery_ms, 0.99),
             stories,
             judge.log,
         )
 
     @property
     def wasted(self) -> float:
-        """Of the calls that reached an endpoint, the part that delivered nothing."""
+        """Share of the calls that reached an endpoint but delivered nothing."""
         calls = self.figures.get("calls", 0)
         return 1.0 - self.figures.get("delivered", 0) / calls if calls else 0.0
 
     def rows(self) -> list[tuple[str, str]]:
-        told = [
+        """Returns the rows of the table, as name and value."""
+        rows = [
             ("scenario", f"{self.name}, seed {self.seed}, {self.stage}"),
             ("value delivered over asked for", f"{self.share:.4f}"),
             ("breaches", str(len(self.breaches))),
@@ -84,27 +92,31 @@
             ("calls that delivered nothing", f"{100.0 * self.wasted:.1f} %"),
             (
                 "played",
-                f"{self.seconds:.1f} s in {self.spent:.2f} s of CPU"
-                + (f", {self.seconds / self.spent:.0f} times life" if self.spent else ""),
+                f"{self.seconds:.1f} s in {self.cpu_s:.2f} s of CPU"
+                + (f", {self.seconds / self.cpu_s:.0f} times life" if self.cpu_s else ""),
             ),
             ("memory of this process", f"{self.memory_mb:.0f} MB"),
         ]
-        return told + [(name, str(count)) for name, count in self.figures.items()]
+        return rows + [(name, str(count)) for name, count in self.figures.items()]
 
     def text_of_breaches(self) -> str:
-        """Each breach, and for the first ones the document's whole story and the command that repeats it."""
-        parts = []
-        for at, breach in enumerate(self.breaches):
-            parts.append(
+        """Returns the violations as text, with the command that repeats the run.
+
+        The first ones have all events of their document.
+        """
+        lines = []
+        for index, breach in enumerate(self.breaches):
+            lines.append(
                 f"rule {breach.rule} at {breach.at:.1f} ms, document {breach.doc or '-'}: {breach.text}"
             )
-            if at < MOST_SHOWN and breach.doc:
-                parts += [f"    {line}" for line in self.stories.get(breach.doc, [])]
-        if parts:
-            parts += [f"scenario {self.name}, seed {self.seed}; again by: {self.repeat}"]
-        return "\n".join(parts)
+            if index < MAX_EVENT_LISTS and breach.doc:
+                lines += [f"    {line}" for line in self.stories.get(breach.doc, [])]
+        if lines:
+            lines += [f"scenario {self.name}, seed {self.seed}; again by: {self.repeat}"]
+        return "\n".join(lines)
 
     def show(self, console) -> None:
+        """Prints the table and the violations."""
         from rich.table import Table
 
         table = Table(title=f"{self.name}, seed {self.seed}", show_header=False)
