--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -101,7 +101,7 @@
             kinds.append(TRIAL)
         elif len(lives) < 2:
             kinds.append(TOLD if call.sender in saw else UNTOLD)
-        elif call.doc.handed_at < lives[-1].began:
+        elif call.doc.submitted_at < lives[-1].began:
             kinds.append(FOUND)
         else:
             kinds.append(LATER if (call.sender, len(lives)) in known else FIRST)
@@ -140,7 +140,7 @@
                 if part > worst:
                     worst, where = part, at - back
                     bound, kinds = most, Counter(kind_of[first : last + 1])
-        waited = {doc.logical for doc in docs if doc.handed_at < back}
+        waited = {doc.logical for doc in docs if doc.submitted_at < back}
         waited -= {doc.logical for doc in docs if doc.delivered_at is not None and doc.delivered_at < back}
         at = {doc.logical: doc.delivered_at for doc in docs if doc.delivered_at is not None}
         drain += [at[each] - back for each in waited if each in at]
--- a/birchstack/emulator/peers.py
+++ b/birchstack/emulator/peers.py
@@ -440,7 +440,7 @@
         self.lost(peer, hand, "refused")
 
     def _impatient(self, hand: Hand) -> None:
-        if hand.story.heard_at is None and hand.story.gave_up_at is None:
+        if hand.story.answered_at is None and hand.story.gave_up_at is None:
             self.world.judge.unanswered(self.world.stage.now_ms(), hand.story, "patience")
             self.world.client_again(hand, 0.0, self._sender, elsewhere=True)
 
--- a/birchstack/emulator/result.py
+++ b/birchstack/emulator/result.py
@@ -58,7 +58,7 @@
         memory_mb: float,
     ) -> Result:
         """Returns the result of a finished run."""
-        delivery_ms = judge.ms_to_deliver
+        delivery_ms = judge.delivery_ms
         stories = {breach.doc: judge.docs[breach.doc].lines for breach in judge.breaches[:50] if breach.doc}
         return cls(
             scenario.name,
--- a/birchstack/emulator/sockets.py
+++ b/birchstack/emulator/sockets.py
@@ -283,7 +283,7 @@
         process = self._day.processes[number]
         if process.process.returncode is None and not process.closing:
             process.closing = True
-            self._day.judge.told_to_end(self._day.stage.now_ms(), number)
+            self._day.judge.terminating(self._day.stage.now_ms(), number)
             process.signal(signal.SIGTERM)
 
     def kill(self, number: int, down_ms: float) -> None:
--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -158,7 +158,7 @@
         if loop.dead or self.closing:
             return
         self._down_ms, self.closing = down_ms, True
-        self._day.judge.told_to_end(self._day.clock.now_ms(), self.number)
+        self._day.judge.terminating(self._day.clock.now_ms(), self.number)
         handler = loop.signals.get(signal.SIGTERM)
         if handler:
             loop.call_soon(handler[0], *handler[1])
--- a/birchstack/emulator/world.py
+++ b/birchstack/emulator/world.py
@@ -218,7 +218,7 @@
         return max(kind.expiry_ms for kind in self.scenario.types) + 4000.0
 
     def _look(self) -> None:
-        self.judge.look(self.stage.now_ms())
+        self.judge.check_overdue(self.stage.now_ms())
         self.stage.after(1000.0, self._look)
 
     # Clients
@@ -246,7 +246,7 @@
         body = chance.randbytes(chance.randint(*self.scenario.clients.sizes))
         self._documents += 1
         logical = Logical(self._documents, kind, destination, key, now + kind.expiry_ms, body)
-        self.judge.asked(logical.number, kind, now)
+        self.judge.document_created(logical.number, kind, now)
         self._hand_in(logical, sender)
 
     def _a_sender(self) -> int:
@@ -306,7 +306,7 @@
         def late() -> None:
             if not heard:
                 heard.append(None)
-                if not self.judge.excused(sender, began, self.stage.now_ms()):
+                if not self.judge.was_unavailable(sender, began, self.stage.now_ms()):
                     self.judge.bad_client(self.stage.now_ms(), what, began, None)
             peer.hang_up()
 
@@ -366,7 +366,7 @@
         verdict = dest.arrive(now, endpoint, sender, setup_ms)
         if len(dest.pushes) > fell:
             push = dest.pushes[-1]
-            self.judge.pushed(now, dest.number, push.by_those_who_saw, push.calls)
+            self.judge.cold_overload(now, dest.number, push.by_those_who_saw, push.calls)
             self.stage.after(dest.fallen_until - now + 1.0, lambda: dest.rises(self.stage.now_ms()))
         return seen, verdict
 
@@ -475,7 +475,7 @@
                 doc.type,
                 doc.destination,
                 doc.key,
-                self.judge.wanted[doc.logical][1] + doc.type.expiry_ms,
+                self.judge.created[doc.logical][1] + doc.type.expiry_ms,
                 self._chance.randbytes(doc.size),
                 int(doc.id.rsplit("-", 1)[1]),
             )
@@ -601,7 +601,7 @@
             elif kind in WRITES:
                 self.senders.kill_at_write(number, int(size_of(trouble)), WRITES[kind], DOWN_MS)
             elif kind == "stand_still":
-                self.judge.stands_still(self.stage.now_ms(), number)
+                self.judge.paused(self.stage.now_ms(), number)
                 self.senders.stand(number, True)
                 self.stage.after(min(over_ms, 3000.0), self._goes_on, number)
             elif kind == "disk_full":
@@ -610,4 +610,4 @@
 
     def _goes_on(self, number: int) -> None:
         self.senders.stand(number, False)
-        self.judge.goes_on(self.stage.now_ms() + 100.0, number)
+        self.judge.resumed(self.stage.now_ms() + 100.0, number)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -90,7 +90,7 @@
     dest = played.world.destinations[0]
     calls = [call for doc in played.judge.docs.values() for call in doc.calls if call.destination == 0]
     assert any(5500.0 < call.at < 8000.0 for call in calls)  # it accepts again, and is silent still
-    assert not any(call.status == 200 and 3300.0 < call.over_at < 8000.0 for call in calls)
+    assert not any(call.status == 200 and 3300.0 < call.ended_at < 8000.0 for call in calls)
     assert not dest.active and not played.judge.breaches
 
 
@@ -136,7 +136,7 @@
         call.sender
         for doc in played.judge.docs.values()
         for call in doc.calls
-        if call.destination == 0 and call.status == 200 and 9200.0 < call.over_at < 14000.0
+        if call.destination == 0 and call.status == 200 and 9200.0 < call.ended_at < 14000.0
     ]
     assert set(back) == {0, 1}
 
