--- a/benchmarks/capacity/cuts.py
+++ b/benchmarks/capacity/cuts.py
@@ -83,14 +83,14 @@
     for link in links:
         link.cut()
     dials, calls = sum(link.dials for link in lists), len(rig.endpoints.calls)
-    into = sum(link.dials for link in links if link.b != "list")
+    into = sum(link.dials for link in links if link.target != "list")
     hand_in((began + seconds) * 1000.0)
     rig.run(seconds / 2.0)
     published, _ = rig.clock.now, rig.list.publish(e1="leaving")
     rig.run(seconds / 2.0)
     ended = rig.clock.now
     dials = sum(link.dials for link in lists) - dials
-    into = sum(link.dials for link in links if link.b != "list") - into
+    into = sum(link.dials for link in links if link.target != "list") - into
     before = sum(reached.bytes[name] for name in away)
     for link in links:
         link.open()
--- a/birchstack/emulator/rig/__init__.py
+++ b/birchstack/emulator/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Many processes of the program, with links between any two of them that can be told to fail."""
+"""Test rig: many processes of birchstack, with links between them into which faults are injected."""
--- a/birchstack/emulator/rig/drawn.py
+++ b/birchstack/emulator/rig/drawn.py
@@ -1,11 +1,12 @@
-"""Days of a fleet drawn from a seed, in virtual time, and the audit held against what the endpoints saw.
+"""Randomized tests of the fleet's audit in virtual time.
 
-Owns the troubles that are drawn, the truth and the comparison. The truth knows nothing of trails: calls are
-those that endpoints saw; the list that a sender acted on is worked out from the bytes that reached it.
+Draws faults from a seed and compares the audit with what the endpoints saw. The comparison does not use the
+trails: calls are those that endpoints saw, and the list that a sender acted on follows from the bytes that
+reached it.
 
-Allowances, all stated: a call may have begun on any list that its sender held from one dial and one answer's
-time before its first byte came (three ways of the network and 5 ms) up to its coming; a call that was begun
-and recorded, and never seen, must lie within 3 s before its sender ended or within a trouble of its own.
+Tolerances: a call may have begun on any list that its sender held from BEGIN_TOLERANCE_MS (one dial and one
+answer) before its first byte arrived until it arrived. A call that was recorded but never seen must lie
+within ENDED_SOON_MS before its sender ended or paused.
 """
 
 from __future__ import annotations
@@ -22,10 +23,11 @@
 from birchstack.fleet.versions import ListContents
 from birchstack.keeper.questions import Call, QueryError, StoreReader, UnknownPeriod
 
-DAY_S, REST_S = 7.0, 3.0
-EARLIER_MS = 3.0 * DELAY_MS + 5.0
-ENDED_MS = 3000.0
-SMALL = 16384  # bytes of a trail that is folded within a day
+RUN_S = 7.0
+SETTLE_S = 3.0  # time without faults after the run
+BEGIN_TOLERANCE_MS = 3.0 * DELAY_MS + 5.0  # a dial and an answer: three one-way delays, and 5 ms
+ENDED_SOON_MS = 3000.0  # a recorded call that no endpoint saw was lost with its process within this
+SMALL_TRAIL_BYTES = 16384  # a trail of this size is folded within a run
 KINDS = (
     "cut",
     "cut one way",
@@ -45,12 +47,12 @@
     "reset",
     "rot",
 )
-MOST = 4  # troubles in a day
+MAX_TROUBLES = 4  # faults in a run
 
 
 @dataclass
 class Day:
-    """One drawn day and what came of it."""
+    """One run with drawn faults, its violations and its figures."""
 
     seed: int
     senders: int
@@ -59,49 +61,53 @@
     figures: Counter = field(default_factory=Counter)
 
 
-class Truth:
-    """Which list each sender held when, by the bytes that reached it."""
+class HeldLists:
+    """Tracks which list each sender held at which time, from the bytes that reached it."""
 
     def __init__(self, rig: VirtualRig) -> None:
         self._rig = rig
-        self.held: dict[str, list[tuple[float, str]]] = defaultdict(list)  # since when, digest
+        self.held: dict[str, list[tuple[float, str]]] = defaultdict(list)  # time since when, digest
         self._contents: dict[str, ListContents] = {}
-        self._lying: dict[str, list[dict]] = defaultdict(list)
-        rig.on_known = self._known
+        self._unread: dict[str, list[dict]] = defaultdict(list)
+        rig.on_known = self._on_known
         for name in rig.senders:
-            rig.link(name, "list").tap = lambda data, name=name: self._came(name, data)
-            rig[name].on_go = lambda name=name: self._goes_on(name)
+            rig.link(name, "list").tap = lambda data, name=name: self._on_bytes(name, data)
+            rig[name].on_go = lambda name=name: self._on_resume(name)
 
-    def _known(self, name: str, known: dict) -> None:
-        self._lying.pop(name, None)
+    def _on_known(self, name: str, known: dict) -> None:
+        """A sender starts with a saved list."""
+        self._unread.pop(name, None)
         self._contents[name] = contents = ListContents()
         contents.apply(True, known["targets"])
         self.held[name].append((self._rig.clock.now_ms(), contents.digest()))
 
-    def _goes_on(self, name: str) -> None:
-        for told in self._lying.pop(name, ()):
-            self._arrived(name, told)
+    def _on_resume(self, name: str) -> None:
+        """A paused sender continues and reads what arrived meanwhile."""
+        for update in self._unread.pop(name, ()):
+            self._apply(name, update)
 
-    def _came(self, name: str, data: bytes) -> None:
-        line = data.partition(b"\r\n")[2].strip()
-        if not line.startswith(b"{") or name not in self._contents:
+    def _on_bytes(self, name: str, data: bytes) -> None:
+        """Bytes were sent to a sender; an update arrives after the network's delay."""
+        body = data.partition(b"\r\n")[2].strip()
+        if not body.startswith(b"{") or name not in self._contents:
             return
-        self._rig.clock.after(DELAY_MS, self._arrived, name, json.loads(line))
+        self._rig.clock.after(DELAY_MS, self._apply, name, json.loads(body))
 
-    def _arrived(self, name: str, told: dict) -> None:
+    def _apply(self, name: str, update: dict) -> None:
+        """Applies an update that arrived at a sender."""
         process = self._rig[name]
         if not process.runs:
             return
-        if process.loop.still:  # it lies in the kernel until the process goes on
-            self._lying[name].append(told)
+        if process.loop.still:  # the kernel buffers it until the process continues
+            self._unread[name].append(update)
             return
         contents = self._contents[name].copy()
-        contents.apply(told["all"], told["targets"])
+        contents.apply(update["all"], update["targets"])
         self._contents[name] = contents
         self.held[name].append((self._rig.clock.now_ms(), contents.digest()))
 
-    def lists(self, name: str, from_ms: float, to_ms: float) -> set[str]:
-        """The lists held at any moment of that time."""
+    def held_between(self, name: str, from_ms: float, to_ms: float) -> set[str]:
+        """Returns the digests of the lists that a sender held at any time of a period."""
         rows = self.held[name]
         found = {digest for since, digest in rows if from_ms <= since <= to_ms}
         before = [digest for since, digest in rows if since < from_ms]
@@ -111,159 +117,186 @@
 def draw(
     seed: int, most_senders: int = 60, kinds: tuple[str, ...] = KINDS, hot: bool | None = None
 ) -> tuple[Day, VirtualRig]:
-    """kinds: troubles come of these; hot: one sender gets most documents (None: drawn)."""
-    chance = random.Random(f"fleet day {seed}")
-    senders = min(most_senders, round(5 * (60 / 5) ** chance.random()))
+    """Draws a run from a seed and schedules its documents, publications and faults.
+
+    kinds: the kinds of fault to draw from. hot: whether one sender gets most documents (None: drawn).
+    """
+    generator = random.Random(f"fleet day {seed}")
+    senders = min(most_senders, round(5 * (60 / 5) ** generator.random()))
     rig = VirtualRig(
         seed,
         senders,
-        chance.choice((1, 1, 2)),
-        endpoints=chance.randint(3, 6),
-        destinations=chance.randint(1, 3),
-        trail_bytes=SMALL if chance.random() < 0.3 or hot else 1_000_000,
+        generator.choice((1, 1, 2)),
+        endpoints=generator.randint(3, 6),
+        destinations=generator.randint(1, 3),
+        trail_bytes=SMALL_TRAIL_BYTES if generator.random() < 0.3 or hot else 1_000_000,
     )
     day = Day(seed, senders)
-    _arrivals(chance, rig, chance.random() < 0.2 if hot is None else hot)
-    _publications(chance, rig)
-    for _ in range(chance.randint(0, MOST)):
-        kind = chance.choice(kinds)
+    _schedule_documents(generator, rig, generator.random() < 0.2 if hot is None else hot)
+    _schedule_publications(generator, rig)
+    for _ in range(generator.randint(0, MAX_TROUBLES)):
+        kind = generator.choice(kinds)
         day.kinds.append(kind)
-        _trouble(chance, rig, kind)
+        _schedule_trouble(generator, rig, kind)
     return day, rig
 
 
-def _arrivals(chance: random.Random, rig: VirtualRig, hot: bool) -> None:
-    """Documents to drawn senders; a hot one now and then, so that a small trail is folded."""
+def _schedule_documents(generator: random.Random, rig: VirtualRig, hot: bool) -> None:
+    """Schedules documents to random senders.
+
+    A hot sender gets most of them, so that a small trail is folded.
+    """
     weights = [1.0] * len(rig.senders)
     rate = 3.0 * len(rig.senders)
     if hot:
-        weights[0], rate = 10.0 * len(rig.senders), rate + 200.0
-    at, number = 0.5, 0
-    while at < DAY_S:
-        at += chance.expovariate(rate)
+        weights[0] = 10.0 * len(rig.senders)
+        rate = rate + 200.0
+    at = 0.5
+    number = 0
+    while at < RUN_S:
+        at += generator.expovariate(rate)
         number += 1
-        sender = chance.choices(rig.senders, weights)[0]
-        destination = chance.choice(sorted(set(rig.uids.values())))
+        sender = generator.choices(rig.senders, weights)[0]
+        destination = generator.choice(sorted(set(rig.uids.values())))
         rig.stage.after(at * 1000.0, rig.clients.hand_in, sender, f"d{number}", destination, "sync", 3000)
 
 
-def _publications(chance: random.Random, rig: VirtualRig) -> None:
-    for _ in range(chance.randint(1, 5)):
-        uid, state = chance.choice([*rig.uids]), chance.choice(("leaving", "left", "active"))
-        rig.stage.after(chance.uniform(800.0, DAY_S * 900.0), _publish, rig, uid, state)
+def _schedule_publications(generator: random.Random, rig: VirtualRig) -> None:
+    """Schedules changes of the endpoint list."""
+    for _ in range(generator.randint(1, 5)):
+        uid = generator.choice([*rig.uids])
+        state = generator.choice(("leaving", "left", "active"))
+        rig.stage.after(generator.uniform(800.0, RUN_S * 900.0), _publish, rig, uid, state)
 
 
 def _publish(rig: VirtualRig, uid: str, state: str) -> None:
-    now = (rig.list.entries.get(uid) or {"state": "left"})["state"]
-    if now != state and (uid in rig.list.entries or uid in rig.list.gone):
+    """Publishes an endpoint's state, unless it has that state or is unknown."""
+    current = (rig.list.entries.get(uid) or {"state": "left"})["state"]
+    if current != state and (uid in rig.list.entries or uid in rig.list.removed):
         rig.list.publish(**{uid: state})
 
 
-def _trouble(chance: random.Random, rig: VirtualRig, kind: str) -> None:
-    at, lasts = chance.uniform(700.0, DAY_S * 800.0), chance.uniform(100.0, 2500.0)
-    many = chance.choice((1, 1, 2, max(1, len(rig.senders) // 3)))
-    names = chance.sample(rig.senders, many)
+def _schedule_trouble(generator: random.Random, rig: VirtualRig, kind: str) -> None:
+    """Schedules one fault."""
+    at = generator.uniform(700.0, RUN_S * 800.0)
+    duration_ms = generator.uniform(100.0, 2500.0)
+    count = generator.choice((1, 1, 2, max(1, len(rig.senders) // 3)))
+    names = generator.sample(rig.senders, count)
     if kind in ("restored", "epoch"):
-        rig.stage.after(at, _restore, rig, chance, kind == "epoch")
+        rig.stage.after(at, _restore, rig, generator, kind == "epoch")
     elif kind == "keeper cut":
-        keeper = chance.choice(rig.keepers)
+        keeper = generator.choice(rig.keepers)
         for name in names:
             link = rig.link(keeper, f"{name}:ops")
-            rig.stage.after(at, link.cut, chance.choice(("both", "there", "back")))
-            rig.stage.after(at + lasts, link.open)
+            rig.stage.after(at, link.cut, generator.choice(("both", "there", "back")))
+            rig.stage.after(at + duration_ms, link.open)
     elif kind == "keeper killed":
-        keeper = rig[chance.choice(rig.keepers)]
+        keeper = rig[generator.choice(rig.keepers)]
         rig.stage.after(at, keeper.kill)
-        rig.stage.after(at + lasts, keeper.start)
+        rig.stage.after(at + duration_ms, keeper.start)
     else:
         for name in names:
-            _strike(chance, rig, kind, name, at + chance.uniform(0.0, 300.0), lasts)
+            _schedule_sender_trouble(
+                generator, rig, kind, name, at + generator.uniform(0.0, 300.0), duration_ms
+            )
 
 
-def _restore(rig: VirtualRig, chance: random.Random, epoch: bool) -> None:
-    number = chance.choice([*rig.list.kept])
+def _restore(rig: VirtualRig, generator: random.Random, epoch: bool) -> None:
+    """Restores a saved version of the list."""
+    number = generator.choice([*rig.list.saved])
     if epoch or number != rig.list.number:
-        rig.list.restore(number, f"epoch{chance.randrange(100)}" if epoch else None)
+        rig.list.restore(number, f"epoch{generator.randrange(100)}" if epoch else None)
 
 
-def _strike(chance: random.Random, rig: VirtualRig, kind: str, name: str, at: float, lasts: float) -> None:
-    process, link, after = rig[name], rig.link(name, "list"), rig.stage.after
+def _schedule_sender_trouble(
+    generator: random.Random, rig: VirtualRig, kind: str, name: str, at: float, duration_ms: float
+) -> None:
+    """Schedules a fault of one sender's process, disk or link to the list."""
+    process = rig[name]
+    link = rig.link(name, "list")
+    after = rig.stage.after
     if kind in ("cut", "cut one way"):
-        after(at, link.cut, "both" if kind == "cut" else chance.choice(("there", "back")))
-        after(at + lasts, link.open)
+        after(at, link.cut, "both" if kind == "cut" else generator.choice(("there", "back")))
+        after(at + duration_ms, link.open)
     elif kind == "held":
         after(at, link.hold)
-        after(at + lasts, link.open)
+        after(at + duration_ms, link.open)
     elif kind == "reset":
         after(at, link.reset)
     elif kind == "still":
-        after(at, rig.list.still.add, name)
-        after(at + lasts, rig.list.still.discard, name)
+        after(at, rig.list.frozen.add, name)
+        after(at + duration_ms, rig.list.frozen.discard, name)
     elif kind in ("killed", "folder lost", "rot"):
         after(at, process.kill)
         if kind == "folder lost":
-            after(at + 1.0, _lose, process)
+            after(at + 1.0, _lose_folder, process)
         elif kind == "rot":
-            after(at + 1.0, _rot, process, chance.randint(100, 3000))
-        after(at + 1.0 + min(lasts, 1500.0), process.start)
+            after(at + 1.0, _corrupt_trail, process, generator.randint(100, 3000))
+        after(at + 1.0 + min(duration_ms, 1500.0), process.start)
     elif kind == "struck":
-        after(at, process.kill_at_write, chance.randint(1, 30), chance.choice((BEFORE, TORN, AFTER)))
-        after(at + 1500.0, process.kill)  # if too little was written
+        after(at, process.kill_at_write, generator.randint(1, 30), generator.choice((BEFORE, TORN, AFTER)))
+        after(at + 1500.0, process.kill)  # in case it wrote too little
         after(at + 1600.0, process.start)
     elif kind == "stopped":
         after(at, process.stand, True)
-        after(at + lasts, process.stand, False)
+        after(at + duration_ms, process.stand, False)
     elif kind == "termed":
         after(at, process.term)
         after(at + 3800.0, process.start)
     elif kind == "wall":
-        after(at, _step, process, chance.choice((-3600e3, 3600e3, 5e3)))
+        after(at, _step_clock, process, generator.choice((-3600e3, 3600e3, 5e3)))
     elif kind == "disk full":
-        after(at, _full, process, True)
-        after(at + lasts, _full, process, False)
+        after(at, _set_disk_full, process, True)
+        after(at + duration_ms, _set_disk_full, process, False)
 
 
-def _step(process, ms: float) -> None:
+def _step_clock(process, ms: float) -> None:
+    """Steps the wall clock of a process."""
     process.stepped_ms += ms
 
 
-def _full(process, full: bool) -> None:
+def _set_disk_full(process, full: bool) -> None:
     process.disk.full = full
     process.lost_disk = True
 
 
-def _rot(process, back: int) -> None:
-    """A byte of the trail turns over, so far before the end of its newest segment."""
+def _corrupt_trail(process, offset: int) -> None:
+    """Inverts bits of one byte in the newest segment of the trail, at an offset from its end."""
     names = sorted(name for name in process.disk.files if name.startswith("trail-") and name[-1].isdigit())
-    if names and len(process.disk.files[names[-1]]) > back:
-        process.disk.files[names[-1]][-back] ^= 0x55
+    if names and len(process.disk.files[names[-1]]) > offset:
+        process.disk.files[names[-1]][-offset] ^= 0x55
         process.lost_disk = True
 
 
-def _lose(process) -> None:
+def _lose_folder(process) -> None:
     process.disk.files.clear()
     process.lost_disk = True
 
 
 def play(seed: int, most_senders: int = 60, kinds: tuple[str, ...] = KINDS, hot: bool | None = None) -> Day:
+    """Draws a run, runs it, ends all faults, lets the keepers catch up, and checks the result."""
     day, rig = draw(seed, most_senders, kinds, hot)
-    truth = Truth(rig)
+    held_lists = HeldLists(rig)
     rig.start()
-    rig.run(DAY_S)
+    rig.run(RUN_S)
     for link in [*rig.links.values()]:
         link.open()
-    rig.list.still.clear()
+    rig.list.frozen.clear()
     for process in rig.processes.values():
         process.disk.full = False
         process.disk.strike = None
         process.stand(False)
         process.start()
-    rig.run(REST_S)
-    check(day, rig, truth)
+    rig.run(SETTLE_S)
+    check(day, rig, held_lists)
     return day
 
 
-def check(day: Day, rig: VirtualRig, truth: Truth) -> None:
+def check(day: Day, rig: VirtualRig, held_lists: HeldLists) -> None:
+    """Compares what the keepers know with what the endpoints saw.
+
+    Adds violations and figures to the day.
+    """
     for name, process in rig.processes.items():
         day.breaches += [f"{name} failed: {each}" for each in process.faults[:1]]
     seen: dict[tuple, list[Seen]] = defaultdict(list)
@@ -272,12 +305,13 @@
     day.figures["calls seen"] = len(rig.endpoints.calls)
     for keeper in rig.keepers:
         rig[keeper].store.commit()
-        _check_keeper(day, rig, truth, seen, rig[keeper].reader(), keeper)
+        _check_keeper(day, rig, held_lists, seen, rig[keeper].reader(), keeper)
 
 
 def _check_keeper(
-    day: Day, rig: VirtualRig, truth: Truth, seen: dict, reader: StoreReader, keeper: str
+    day: Day, rig: VirtualRig, held_lists: HeldLists, seen: dict, reader: StoreReader, keeper: str
 ) -> None:
+    """Compares one keeper's answers with the calls that the endpoints saw."""
     known: dict[tuple, list[Call]] = defaultdict(list)
     for each in reader._calls("c.endpoint IS NOT NULL"):
         known[each.sender, each.doc, each.endpoint].append(each)
@@ -285,29 +319,33 @@
     for each in reader.unknown_periods():
         gaps[each.sender].append(each)
     day.figures["gaps"] += sum(each.why != "not heard of since" for rows in gaps.values() for each in rows)
-    may_lose = {name for name in rig.senders if _lost(rig, name)}
-    folds = rig.fleet_file.trail.bytes == SMALL
+    disk_losers = {name for name in rig.senders if _lost_disk(rig, name)}
+    folds = rig.fleet_file.trail.bytes == SMALL_TRAIL_BYTES
     for name in rig.senders:
         for each in gaps[name]:
             if each.why == "not heard of since" and each.to_ms - each.from_ms < 1500.0:
                 continue
-            if name not in may_lose and not (folds and each.why.startswith("folded")):
+            if name not in disk_losers and not (folds and each.why.startswith("folded")):
                 day.breaches.append(f"{keeper}: {name} unknown without a cause: {each}")
     for key, rows in seen.items():
         mine = sorted(known.get(key, ()))
         missing = len(rows) - len(mine)
         if missing > 0:
-            covered = sum(_covered(gaps[key[0]], WALL_MS + each.at_ms) for each in rows)
+            covered = sum(_in_gap(gaps[key[0]], WALL_MS + each.at_ms) for each in rows)
             day.figures["seen, unknown"] += missing
             if covered < missing:
                 day.breaches.append(
                     f"{keeper}: {key} was seen {len(rows)} times and is known {len(mine)} times"
                 )
             continue
-        if missing == 0:  # each in turn: the list that it began on
+        if missing == 0:  # compares the list on which each call began
             for call, row in zip(mine, sorted(rows, key=lambda each: each.at_ms), strict=True):
                 day.figures["versions compared"] += 1
-                held = truth.lists(key[0], row.at_ms - EARLIER_MS - _stood(rig, key[0], row.at_ms), row.at_ms)
+                held = held_lists.held_between(
+                    key[0],
+                    row.at_ms - BEGIN_TOLERANCE_MS - _pause_before_ms(rig, key[0], row.at_ms),
+                    row.at_ms,
+                )
                 if call.digest not in held:
                     day.breaches.append(
                         f"{keeper}: {key} at {row.at_ms:.1f} on {call.digest[:8]}, held "
@@ -320,84 +358,90 @@
             if not any(_ended_after(rig, key[0], each.at_ms - WALL_MS) for each in rows):
                 day.breaches.append(f"{keeper}: {key} is known {len(rows)} times, seen {len(rows) - extra}")
     _check_totals(day, rig, reader, seen, gaps, keeper)
-    _check_after(day, rig, reader, seen, gaps, keeper)
+    _check_removed_endpoints(day, rig, reader, seen, gaps, keeper)
 
 
-def _lost(rig: VirtualRig, name: str) -> bool:
+def _lost_disk(rig: VirtualRig, name: str) -> bool:
     return rig[name].lost_disk
 
 
-def _covered(gaps: list[UnknownPeriod], at_ms: float) -> bool:
+def _in_gap(gaps: list[UnknownPeriod], at_ms: float) -> bool:
+    """Returns whether a time lies in a period reported as unknown, with a tolerance."""
     return any(each.from_ms - 20.0 <= at_ms <= each.to_ms + 50.0 for each in gaps)
 
 
-def _stood(rig: VirtualRig, name: str, at_ms: float) -> float:
-    """How long the sender stood still shortly before: a call may have begun before that."""
-    stops = [when for what, when in rig[name].lives if what == "stopped" and when <= at_ms]
-    goes = [when for what, when in rig[name].lives if what == "let go" and when <= at_ms]
-    if stops and goes and at_ms - goes[-1] < 100.0:
-        return goes[-1] - stops[-1] + 100.0
+def _pause_before_ms(rig: VirtualRig, name: str, at_ms: float) -> float:
+    """Returns how long a sender was paused shortly before; a call may have begun before the pause."""
+    stops = [time for event, time in rig[name].lives if event == "stopped" and time <= at_ms]
+    resumes = [time for event, time in rig[name].lives if event == "let go" and time <= at_ms]
+    if stops and resumes and at_ms - resumes[-1] < 100.0:
+        return resumes[-1] - stops[-1] + 100.0
     return 0.0
 
 
 def _ended_after(rig: VirtualRig, name: str, at_ms: float) -> bool:
-    """The sender was killed, ended or stopped soon after."""
+    """Returns whether a sender was killed, ended or paused soon after a time."""
     return any(
-        what in ("killed", "ended", "stopped") and at_ms - 1.0 <= when <= at_ms + ENDED_MS
-        for what, when in rig[name].lives
+        event in ("killed", "ended", "stopped") and at_ms - 1.0 <= time <= at_ms + ENDED_SOON_MS
+        for event, time in rig[name].lives
     )
 
 
 def _check_totals(
     day: Day, rig: VirtualRig, reader: StoreReader, seen: dict, gaps: dict, keeper: str
 ) -> None:
-    """All stretches together, folded ones too, come to what the endpoints saw."""
+    """Compares the calls in all stretches, folded ones included, with the calls that the endpoints saw."""
     sums = dict(reader.db.execute("SELECT sender, sum(calls) FROM stretch GROUP BY sender").fetchall())
     for name in rig.senders:
-        many = sum(len(rows) for key, rows in seen.items() if key[0] == name)
-        extra = sums.get(name, 0) - many
-        ends = sum(what in ("killed", "ended", "stopped") for what, _ in rig[name].lives)
-        if extra < 0 and not _lost(rig, name) or extra > 40 * ends:
+        call_count = sum(len(rows) for key, rows in seen.items() if key[0] == name)
+        extra = sums.get(name, 0) - call_count
+        ends = sum(event in ("killed", "ended", "stopped") for event, _ in rig[name].lives)
+        if extra < 0 and not _lost_disk(rig, name) or extra > 40 * ends:
             day.breaches.append(
-                f"{keeper}: {name} made {many} calls, its stretches come to {sums.get(name, 0)}"
+                f"{keeper}: {name} made {call_count} calls, its stretches come to {sums.get(name, 0)}"
             )
 
 
-def _check_after(day: Day, rig: VirtualRig, reader: StoreReader, seen: dict, gaps: dict, keeper: str) -> None:
-    """For each endpoint taken out: exactly the calls that came to it while it was out."""
+def _check_removed_endpoints(
+    day: Day, rig: VirtualRig, reader: StoreReader, seen: dict, gaps: dict, keeper: str
+) -> None:
+    """Checks the calls reported for each removed endpoint: those that reached it while it was removed."""
     for published in reader.published_versions():
         rows = reader.db.execute(
             "SELECT endpoint FROM change WHERE published=? AND state!='active'", (published.id,)
         ).fetchall()
         for (endpoint,) in rows:
             try:
-                told = reader.calls_after_removal(endpoint, published.number, published.epoch)
+                answer = reader.calls_after_removal(endpoint, published.number, published.epoch)
             except QueryError:
                 continue
-            begin, end = told.out_ms - WALL_MS, (told.in_ms or reader.now_ms) - WALL_MS
-            named = Counter((each.sender, each.doc) for each in told.calls)
-            sure, may = Counter(), Counter()  # calls under way as the news came may count or not
+            begin = answer.out_ms - WALL_MS
+            end = (answer.in_ms or reader.now_ms) - WALL_MS
+            reported = Counter((each.sender, each.doc) for each in answer.calls)
+            # calls in transit when the list arrived may be counted or not
+            certain = Counter()
+            possible = Counter()
             for (sender, doc, uid), calls in seen.items():
                 if uid == endpoint:
                     for each in calls:
-                        slack = EARLIER_MS + _stood(rig, sender, each.at_ms)
-                        may[sender, doc] += begin < each.at_ms < end + slack
-                        sure[sender, doc] += begin + slack < each.at_ms < end
+                        tolerance_ms = BEGIN_TOLERANCE_MS + _pause_before_ms(rig, sender, each.at_ms)
+                        possible[sender, doc] += begin < each.at_ms < end + tolerance_ms
+                        certain[sender, doc] += begin + tolerance_ms < each.at_ms < end
             day.figures["out questions"] += 1
-            for key, count in sure.items():
+            for key, count in certain.items():
                 if (
-                    named[key] < count
-                    and not _covered(gaps[key[0]], told.out_ms)
-                    and not any(_covered(gaps[key[0]], WALL_MS + each.at_ms) for each in seen[*key, endpoint])
+                    reported[key] < count
+                    and not _in_gap(gaps[key[0]], answer.out_ms)
+                    and not any(_in_gap(gaps[key[0]], WALL_MS + each.at_ms) for each in seen[*key, endpoint])
                 ):
                     day.breaches.append(
                         f"{keeper}: {key} called {endpoint} while it was out, and is not named"
                     )
-            for key, count in named.items():
-                if count > may[key] and not _ended_after(
+            for key, count in reported.items():
+                if count > possible[key] and not _ended_after(
                     rig,
                     key[0],
-                    min(each.at_ms for each in told.calls if (each.sender, each.doc) == key) - WALL_MS,
+                    min(each.at_ms for each in answer.calls if (each.sender, each.doc) == key) - WALL_MS,
                 ):
                     day.breaches.append(
                         f"{keeper}: {key} is named for {endpoint}, and did not call it while out"
--- a/birchstack/emulator/rig/links.py
+++ b/birchstack/emulator/rig/links.py
@@ -1,13 +1,13 @@
-"""Links between two parties of a rig, which can be told to fail; written once for real and for virtual time.
+"""Links between two parties of a rig, with fault injection, for real and for virtual time.
 
-Owns the bytes under way between two parties, and what is done to them: delay, a rate, cut one way or both,
-held and let go, reset, refused. Must never look into the bytes. The stage (sockets or the emulator's network)
-brings addresses, connections and time; a link listens at an address of its own, by which its far end knows
-the caller.
+A link relays the bytes between two parties without reading them, and can delay them, limit their rate, drop
+them in one direction or both, hold them back, and reset or refuse connections. The stage (sockets or the
+emulator's network) provides addresses, connections and time. A link listens at an address of its own, by
+which the target recognizes the caller.
 
-A cut is what TCP shows of one: bytes vanish, a dial never comes up, nothing is told to either end; when the
-cut is over, connections that lost bytes are reset. A link that is held loses nothing: what waited goes on in
-its order.
+A cut behaves like a network partition under TCP: bytes are dropped, a dial is never answered, and neither end
+is told; when the cut ends, connections that lost bytes are reset. A held link loses nothing: the bytes that
+waited are delivered in order.
 """
 
 from __future__ import annotations
@@ -18,23 +18,30 @@
 
 Address = tuple[str, int]
 THERE, BACK, BOTH = "there", "back", "both"
-END, RESET = object(), object()
+END_OF_STREAM, RESET = object(), object()  # markers in a stream: the connection was closed, or reset
 
 
 class Stage(Protocol):
-    def now_ms(self) -> float: ...
+    """Time and connections, as the environment (sockets or the emulated network) provides them."""
 
-    def after(self, ms: float, what: Callable, *words: object) -> object: ...
+    def now_ms(self) -> float:
+        """Returns the time since the start."""
 
-    def serve(self, where: Address, name: str, accept: Callable) -> object: ...
+    def after(self, ms: float, function: Callable, *arguments: object) -> object:
+        """Calls a function after a delay."""
 
-    def reach(self, where: Address, peer: object, refused: Callable[[], None]) -> None: ...
+    def serve(self, where: Address, name: str, accept: Callable) -> object:
+        """Listens at an address; accept makes the peer of each connection."""
 
-    def refuse(self, host: object, refuses: bool) -> None: ...
+    def reach(self, where: Address, peer: object, refused: Callable[[], None]) -> None:
+        """Connects a peer to an address; calls refused if the connection is refused."""
 
+    def refuse(self, host: object, refuses: bool) -> None:
+        """Makes a listening address refuse connections, or accept them again."""
 
-class Way:
-    """One direction of a link. rate: bytes a second, 0 for no bound."""
+
+class Direction:
+    """State of one direction of a link. rate: bytes per second, 0 for no limit."""
 
     def __init__(self) -> None:
         self.delay_ms = self.rate = 0.0
@@ -42,252 +49,282 @@
         self.bytes = 0
 
 
-class Lane:
+class Stream:
     """One direction of one connection."""
 
-    def __init__(self, link: Link, way: Way, arrive: Callable[[object], None]) -> None:
-        self._link, self.way, self._arrive = link, way, arrive
+    def __init__(self, link: Link, direction: Direction, arrive: Callable[[object], None]) -> None:
+        self._link, self.direction, self._arrive = link, direction, arrive
         self._queue: deque[tuple[float, object]] = deque()
-        self._due_at, self._set = 0.0, False
-        self.broken = False  # bytes of this direction vanished
-
-    def put(self, what: object) -> None:
-        """Bytes, END or RESET, on their way."""
-        way, now = self.way, self._link.stage.now_ms()
-        if way.cut:
-            self.broken = True
+        self._due_at = 0.0
+        self._timer_set = False
+        self.lost_bytes = False  # bytes of this direction were dropped
+
+    def send(self, item: object) -> None:
+        """Queues bytes, END_OF_STREAM or RESET; drops them if the direction is cut."""
+        direction = self.direction
+        now = self._link.stage.now_ms()
+        if direction.cut:
+            self.lost_bytes = True
             return
-        size = len(what) if isinstance(what, bytes) else 0
-        way.bytes += size
-        spent = size * 1000.0 / way.rate if way.rate else 0.0
-        self._due_at = max(now + way.delay_ms, self._due_at) + spent
-        self._queue.append((self._due_at, what))
-        self.go()
-
-    def go(self) -> None:
-        """What has arrived by now, unless it is held."""
+        size = len(item) if isinstance(item, bytes) else 0
+        direction.bytes += size
+        transfer_ms = size * 1000.0 / direction.rate if direction.rate else 0.0
+        self._due_at = max(now + direction.delay_ms, self._due_at) + transfer_ms
+        self._queue.append((self._due_at, item))
+        self.release()
+
+    def release(self) -> None:
+        """Delivers what is due, unless the direction is held."""
         now = self._link.stage.now_ms()
-        while self._queue and not self.way.held and self._queue[0][0] <= now + 0.001:
+        while self._queue and not self.direction.held and self._queue[0][0] <= now + 0.001:
             self._arrive(self._queue.popleft()[1])
-        if self._queue and not self.way.held and not self._set:
-            self._set = True
-            self._link.stage.after(self._queue[0][0] - now, self._later)
+        if self._queue and not self.direction.held and not self._timer_set:
+            self._timer_set = True
+            self._link.stage.after(self._queue[0][0] - now, self._on_timer)
 
-    def _later(self) -> None:
-        self._set = False
-        self.go()
+    def _on_timer(self) -> None:
+        self._timer_set = False
+        self.release()
 
 
-class Side:
-    """One end of a connection as the stage sees it: a peer that passes everything on."""
+class SocketEnd:
+    """One end of a connection of the stage; forwards everything to the other end."""
 
     def __init__(self, opened: Callable[[], None]) -> None:
         self._opened = opened
         self.port: object = None
-        self.lane: Lane | None = None  # what comes in here goes there
-        self.over = False
+        self.stream: Stream | None = None  # takes what is received here
+        self.closed = False
 
     def opened(self, port: object) -> None:
+        """The connection was established."""
         self.port = port
-        if self.over:
+        if self.closed:
             port.abort()
         else:
             self._opened()
 
     def received(self, data: bytes) -> None:
-        self.lane.put(bytes(data))
+        """Bytes arrived from the party."""
+        self.stream.send(bytes(data))
 
     def ended(self, reset: bool) -> None:
-        self.lane.put(RESET if reset else END)
+        """The party closed or reset the connection."""
+        self.stream.send(RESET if reset else END_OF_STREAM)
 
-    def out(self, what: object) -> None:
-        """Something arrives at the party behind this end."""
-        if self.over or self.port is None:
+    def deliver(self, item: object) -> None:
+        """Passes bytes, a close or a reset to the party at this end."""
+        if self.closed or self.port is None:
             return
-        if what is END:
+        if item is END_OF_STREAM:
             self.port.close()
-            self.over = True
-        elif what is RESET:
+            self.closed = True
+        elif item is RESET:
             self.abort()
         else:
-            self.port.write(what)
+            self.port.write(item)
 
     def abort(self) -> None:
-        self.over = True
+        """Resets the connection."""
+        self.closed = True
         if self.port is not None:
             self.port.abort()
 
 
-class Inside:
-    """The far end where it is a peer of the model itself: no second connection is needed."""
+class PeerEnd:
+    """The far end where the target is a peer of the model itself, so that no second connection is needed."""
 
     def __init__(self, peer: object) -> None:
         self._peer = peer
-        self.lane: Lane | None = None
-        self.over = False
+        self.stream: Stream | None = None
+        self.closed = False
 
-    # the peer's port
+    # The port of the peer
 
     def write(self, data: bytes) -> None:
-        if not self.over:
-            self.lane.put(bytes(data))
+        """Sends bytes from the peer."""
+        if not self.closed:
+            self.stream.send(bytes(data))
 
     def close(self) -> None:
-        if not self.over:
-            self.over = True
-            self.lane.put(END)
+        """Closes the connection for the peer."""
+        if not self.closed:
+            self.closed = True
+            self.stream.send(END_OF_STREAM)
 
     def abort(self) -> None:
-        if not self.over:
-            self.over = True
-            self.lane.put(RESET)
+        """Resets the connection for the peer."""
+        if not self.closed:
+            self.closed = True
+            self.stream.send(RESET)
 
     def watch(self, left: Callable[[], None]) -> None:
-        """What the caller's end does is seen when it arrives."""
+        """Does nothing: the peer learns of the caller's close when it arrives."""
 
-    # the link's end
+    # The end of the link
 
-    def out(self, what: object) -> None:
-        if self.over:
+    def deliver(self, item: object) -> None:
+        """Passes bytes, a close or a reset to the peer."""
+        if self.closed:
             return
-        if what is END or what is RESET:
-            self._peer.ended(what is RESET)
+        if item is END_OF_STREAM or item is RESET:
+            self._peer.ended(item is RESET)
         else:
-            self._peer.received(what)
+            self._peer.received(item)
 
 
 class Connection:
     """One connection over a link, from its dial to its end."""
 
     def __init__(self, link: Link) -> None:
-        self.link, self.near = link, Side(self._near_opened)
-        self.far: Side | Inside | None = None
-        self.there = Lane(link, link.there, self._there)
-        self.back = Lane(link, link.back, self._back)
-        self.near.lane = self.there
-        self._waiting: list[object] = []  # came before the far end stood
-        self.stuck = False
+        self.link = link
+        self.near = SocketEnd(self._near_opened)
+        self.far: SocketEnd | PeerEnd | None = None
+        self.there = Stream(link, link.there, self._deliver_there)
+        self.back = Stream(link, link.back, self._deliver_back)
+        self.near.stream = self.there
+        self._pending: list[object] = []  # arrived before the far end was connected
+        self.unanswered = False
 
     def _near_opened(self) -> None:
         link = self.link
-        if link.there.cut or link.back.cut:  # the dial gets no answer; seen as silence, reset when it is over
-            self.there.broken = self.stuck = True
+        if link.there.cut or link.back.cut:  # no answer until the cut ends, then a reset
+            self.there.lost_bytes = self.unanswered = True
             return
         if not callable(link.to):
-            self.far = Side(self._far_opened)
-            self.far.lane = self.back
+            self.far = SocketEnd(self._far_opened)
+            self.far.stream = self.back
             link.stage.reach(link.to, self.far, lambda: self.near.abort())
             return
-        peer = link.to(link.a)
-        self.far = Inside(peer)
-        self.far.lane = self.back
+        peer = link.to(link.caller)
+        self.far = PeerEnd(peer)
+        self.far.stream = self.back
         peer.opened(self.far)
 
     def _far_opened(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for what in waiting:
-            self.far.out(what)
+        pending, self._pending = self._pending, []
+        for item in pending:
+            self.far.deliver(item)
 
-    def _there(self, what: object) -> None:
-        if self.far is None or isinstance(self.far, Side) and self.far.port is None:
-            self._waiting.append(what)
+    def _deliver_there(self, item: object) -> None:
+        if self.far is None or isinstance(self.far, SocketEnd) and self.far.port is None:
+            self._pending.append(item)
         else:
-            self.far.out(what)
-        if what is END or what is RESET:
-            self._over()
-
-    def _back(self, what: object) -> None:
-        if isinstance(what, bytes) and not self.near.over:
-            self.link.tap(what)
-        self.near.out(what)
-        if what is END or what is RESET:
-            self._over()
-
-    def _over(self) -> None:
-        """One end has let go, and the other has heard of it."""
+            self.far.deliver(item)
+        if item is END_OF_STREAM or item is RESET:
+            self._finish()
+
+    def _deliver_back(self, item: object) -> None:
+        if isinstance(item, bytes) and not self.near.closed:
+            self.link.tap(item)
+        self.near.deliver(item)
+        if item is END_OF_STREAM or item is RESET:
+            self._finish()
+
+    def _finish(self) -> None:
+        """Closes both ends, after one of them closed and the other was told."""
         self.link.connections.pop(self, None)
-        self.near.over = True
+        self.near.closed = True
         if self.near.port is not None:
             self.near.port.close()
-        if isinstance(self.far, Side):
-            self.far.over = True
+        if isinstance(self.far, SocketEnd):
+            self.far.closed = True
             if self.far.port is not None:
                 self.far.port.close()
 
     def reset(self) -> None:
+        """Resets both ends."""
         self.link.connections.pop(self, None)
         self.near.abort()
-        if isinstance(self.far, Side):
+        if isinstance(self.far, SocketEnd):
             self.far.abort()
         elif self.far is not None:
-            self.far.out(RESET)
-            self.far.over = True
+            self.far.deliver(RESET)
+            self.far.closed = True
 
-    def healed(self) -> None:
-        if self.there.broken or self.back.broken:
+    def reset_if_damaged(self) -> None:
+        """Resets the connection if it lost bytes."""
+        if self.there.lost_bytes or self.back.lost_bytes:
             self.reset()
 
 
 class Link:
-    """From a to b. to: the address behind it, or a function that makes the peer for a caller."""
+    """A link from a caller to a target.
+
+    to: the address of the target, or a function that makes its peer for a caller.
+    """
 
     def __init__(
-        self, stage: Stage, a: str, b: str, to: Address | Callable[[str], object], where: Address
+        self, stage: Stage, caller: str, target: str, to: Address | Callable[[str], object], where: Address
     ) -> None:
-        self.stage, self.a, self.b, self.to = stage, a, b, to
-        self.there, self.back = Way(), Way()
+        self.stage = stage
+        self.caller = caller
+        self.target = target
+        self.to = to
+        self.there = Direction()
+        self.back = Direction()
         self.connections: dict[Connection, None] = {}
         self.dials = 0
-        self.tap: Callable[[bytes], None] = lambda data: None  # what reaches the caller
-        self.host = stage.serve(where, f"{a}>{b}", self._accept)
+        self.tap: Callable[[bytes], None] = lambda data: None  # called with the bytes that reach the caller
+        self.host = stage.serve(where, f"{caller}>{target}", self._accept)
 
     @property
     def where(self) -> Address:
+        """The address at which the link listens."""
         return self.host.where
 
-    def _accept(self) -> Side:
+    def _accept(self) -> SocketEnd:
         self.dials += 1
-        made = Connection(self)
-        self.connections[made] = None
-        return made.near
+        connection = Connection(self)
+        self.connections[connection] = None
+        return connection.near
 
-    def ways(self, way: str = BOTH) -> list[Way]:
-        return [each for name, each in ((THERE, self.there), (BACK, self.back)) if way in (name, BOTH)]
+    def ways(self, way: str = BOTH) -> list[Direction]:
+        """Returns the directions named: "there", "back" or "both"."""
+        return [
+            direction for name, direction in ((THERE, self.there), (BACK, self.back)) if way in (name, BOTH)
+        ]
 
-    # Faults; each lasts until open() or its own opposite
+    # Faults; each lasts until open() or until it is undone
 
     def cut(self, way: str = BOTH) -> None:
-        for each in self.ways(way):
-            each.cut = True
+        """Drops all bytes and leaves dials without an answer."""
+        for direction in self.ways(way):
+            direction.cut = True
 
     def hold(self, way: str = BOTH) -> None:
-        for each in self.ways(way):
-            each.held = True
+        """Holds all bytes back, without loss."""
+        for direction in self.ways(way):
+            direction.held = True
 
     def delay(self, ms: float, way: str = BOTH) -> None:
-        for each in self.ways(way):
-            each.delay_ms = ms
+        """Delays all bytes."""
+        for direction in self.ways(way):
+            direction.delay_ms = ms
 
     def slow(self, rate: float, way: str = BOTH) -> None:
-        for each in self.ways(way):
-            each.rate = rate
+        """Limits the rate, in bytes per second."""
+        for direction in self.ways(way):
+            direction.rate = rate
 
     def refuse(self) -> None:
+        """Refuses connections."""
         self.stage.refuse(self.host, True)
 
     def reset(self) -> None:
-        for each in [*self.connections]:
-            each.reset()
+        """Resets all connections."""
+        for connection in [*self.connections]:
+            connection.reset()
 
     def open(self, way: str = BOTH) -> None:
-        """Everything is as it should be again."""
+        """Ends all faults: connections that lost bytes are reset, held bytes are delivered."""
         for each in self.ways(way):
             each.cut = each.held = False
             each.delay_ms = each.rate = 0.0
         if self.host.refusing:
             self.stage.refuse(self.host, False)
         for each in [*self.connections]:
-            each.healed()
+            each.reset_if_damaged()
         for each in [*self.connections]:
-            each.there.go()
-            each.back.go()
+            each.there.release()
+            each.back.release()
--- a/birchstack/emulator/rig/parties.py
+++ b/birchstack/emulator/rig/parties.py
@@ -1,8 +1,8 @@
-"""The parties that a fleet shares: a list service, endpoints, clients. They note what truly happened.
+"""Stand-ins for the other parties of a fleet: a list service, endpoints and clients.
 
-Owns the lists' versions and contents, and the truth: which call came from whom and when, which version was
-told to whom and when. Must never ask a sender what it did. Written against the stage, for real and for
-virtual time; HTTP is read by httptools, not by the sender's own parser.
+They record which call came from whom and when, and which version of the list was sent to whom and when,
+without asking the senders. They run on a stage, in real or in virtual time. HTTP is parsed by httptools, not
+by the sender's own parser.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """A call as its endpoint saw it: when its last byte came, from whom, the answer's status (0: none)."""
+    """A call as its endpoint received it: time of the last byte, sender, status of the answer (0: none)."""
 
     at_ms: float
     sender: str
@@ -31,8 +31,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A version that was written to a sender (or keeper), and when."""
+class SentVersion:
+    """A version of the list that was written to a sender or keeper."""
 
     at_ms: float
     to: str
@@ -40,148 +40,176 @@
     epoch: str
 
 
-class Lists:
-    """A list service: one list for all, watches, notices. line(caller, uid) tells an endpoint's address."""
+class ListService:
+    """A discovery service: one list for all callers, watches, and notices.
+
+    address(caller, uid) returns the address of an endpoint for a caller; beat_ms is the heartbeat interval.
+    """
 
     def __init__(
         self, stage, address: Callable[[str, str], str], beat_ms: float = 500.0, epoch: str = ""
     ) -> None:
-        self._stage, self._address, self._beat_ms = stage, address, beat_ms
-        self.epoch, self.number = epoch, 1
+        self._stage = stage
+        self._address = address
+        self._beat_ms = beat_ms
+        self.epoch = epoch
+        self.number = 1
         self.entries: dict[str, dict] = {}
-        self.gone: dict[str, dict] = {}  # lines of endpoints that left, should they come back
-        self._log: list[tuple[int, str, dict]] = []  # number, uid, line: what changed
-        self.kept: dict[int, tuple[dict, list]] = {}
+        self.removed: dict[str, dict] = {}  # entries of endpoints that left, in case they return
+        self._log: list[tuple[int, str, dict]] = []  # changes: number of the version, uid, entry
+        self.saved: dict[int, tuple[dict, list]] = {}
         self.watchers: dict[ListPeer, None] = {}
-        self.still: set[str] = set()  # callers whose watch only beats: the list stands still for them
-        self.told: list[Told] = []
+        self.frozen: set[str] = set()  # callers whose watch gets only heartbeats, no updates
+        self.sent_versions: list[SentVersion] = []
         self.published: list[tuple[float, str, int]] = []
         self.notices: dict[str, str] = {}
-        self.asks: list[tuple[float, str, int]] = []  # when, who, after which version
-        self._beat()
+        self.asks: list[tuple[float, str, int]] = []  # time, caller, version that the caller has
+        self._send_heartbeats()
 
     def begin(self, entries: list[dict]) -> None:
-        """The first list."""
-        self.entries = {each["uid"]: each for each in entries}
+        """Sets the first list."""
+        self.entries = {entry["uid"]: entry for entry in entries}
         self._keep()
 
     def _keep(self) -> None:
-        self.kept[self.number] = dict(self.entries), [*self._log]
+        """Saves the current version for restore()."""
+        self.saved[self.number] = dict(self.entries), [*self._log]
         self.published.append((self._stage.now_ms(), self.epoch, self.number))
 
     def publish(self, **states: str) -> int:
-        """A new version: by uid the state from now on; "left" takes an endpoint off. Returns its number."""
+        """Publishes a new version and returns its number.
+
+        states: by uid, the new state; "left" removes an endpoint.
+        """
         self.number += 1
         for uid, state in states.items():
-            line = {**(self.entries.get(uid) or self.gone[uid]), "state": state}
-            self._log.append((self.number, uid, line))
+            entry = {**(self.entries.get(uid) or self.removed[uid]), "state": state}
+            self._log.append((self.number, uid, entry))
             if state == "left":
-                self.gone[uid] = self.entries.pop(uid, line)
+                self.removed[uid] = self.entries.pop(uid, entry)
             else:
-                self.entries[uid] = line
+                self.entries[uid] = entry
         self._keep()
-        self._tell_all()
+        self._update_watchers()
         return self.number
 
     def restore(self, number: int, epoch: str | None = None) -> None:
-        """Back to a version that was kept, as from a backup; every watch ends. epoch: a new one begins."""
-        entries, log = self.kept[number]
+        """Returns to a saved version, as from a backup, and ends every watch.
+
+        epoch: the epoch that begins, if any.
+        """
+        entries, log = self.saved[number]
         self.entries, self._log, self.number = dict(entries), [*log], number
         if epoch is not None:
             self.epoch = epoch
         self.published.append((self._stage.now_ms(), self.epoch, number))
-        for each in [*self.watchers]:
-            each.drop()
+        for watcher in [*self.watchers]:
+            watcher.drop()
 
     def whole(self, caller: str) -> dict:
-        return self._line(caller, True, self.entries.values())
+        """Returns the whole list for a caller."""
+        return self._update(caller, True, self.entries.values())
 
-    def _line(self, caller: str, whole: bool, lines) -> dict:
-        targets = [{**line, "endpoint": self._address(caller, line["uid"])} for line in lines]
-        told = {"rev": self.number, "all": whole, "targets": targets}
-        return {**told, "epoch": self.epoch} if self.epoch else told
+    def _update(self, caller: str, whole: bool, entries) -> dict:
+        targets = [{**entry, "endpoint": self._address(caller, entry["uid"])} for entry in entries]
+        update = {"rev": self.number, "all": whole, "targets": targets}
+        return {**update, "epoch": self.epoch} if self.epoch else update
 
     def after(self, caller: str, number: int) -> dict | None:
-        """What a watch that has a version is told; None where there is nothing new."""
+        """Returns what a caller with a version is sent, or None if nothing is new."""
         if number == self.number:
             return None
         if not number or number > self.number:
             return self.whole(caller)
-        last = {uid: line for at, uid, line in self._log if at > number}
-        return self._line(caller, False, last.values())
+        latest = {uid: entry for version, uid, entry in self._log if version > number}
+        return self._update(caller, False, latest.values())
 
     def accept(self, caller: str) -> ListPeer:
+        """Returns the peer of a new connection."""
         return ListPeer(self, caller)
 
     def now_ms(self) -> float:
+        """Returns the time of the stage."""
         return self._stage.now_ms()
 
-    def _tell_all(self) -> None:
-        for each in [*self.watchers]:
-            each.tell(False)
+    def _update_watchers(self) -> None:
+        for watcher in [*self.watchers]:
+            watcher.send_update(False)
 
-    def _beat(self) -> None:
-        for each in [*self.watchers]:
-            each.tell(True)
-        self._stage.after(self._beat_ms, self._beat)
+    def _send_heartbeats(self) -> None:
+        for watcher in [*self.watchers]:
+            watcher.send_update(True)
+        self._stage.after(self._beat_ms, self._send_heartbeats)
 
 
 class ListPeer(Server):
     """One connection at the list service."""
 
-    def __init__(self, lists: Lists, caller: str) -> None:
+    def __init__(self, service: ListService, caller: str) -> None:
         super().__init__()
-        self._lists, self.caller = lists, caller
-        self._has, self._new = -1, True
+        self._service = service
+        self.caller = caller
+        self._known_version = -1
+        self._new = True
 
     def ended(self, reset: bool) -> None:
+        """Removes the watch of a connection that ended."""
         super().ended(reset)
-        self._lists.watchers.pop(self, None)
+        self._service.watchers.pop(self, None)
 
     def drop(self) -> None:
-        self._lists.watchers.pop(self, None)
+        """Resets the connection."""
+        self._service.watchers.pop(self, None)
         self.gone = True
         self.port.abort()
 
     def asked(self, method: str, target: str, fields: dict[str, str], body: bytes) -> None:
-        lists = self._lists
+        """Answers a request: a notice, the whole list or a watch."""
+        service = self._service
         if method == "POST" and target == "/v1/notices":
             for line in body.splitlines():
-                told = json.loads(line)
-                lists.notices[told["ref"]] = told["result"]
+                notice = json.loads(line)
+                service.notices[notice["ref"]] = notice["result"]
             self.port.write(message(204))
             return
-        words = dict(word.partition("=")[::2] for word in target.partition("?")[2].split("&"))
-        self._has = int(words.get("after", 0))
-        lists.asks.append((lists.now_ms(), self.caller, self._has))
-        if not words.get("watch"):
-            self.port.write(message(200, None, json.dumps(lists.whole(self.caller)).encode()))
+        query = dict(parameter.partition("=")[::2] for parameter in target.partition("?")[2].split("&"))
+        self._known_version = int(query.get("after", 0))
+        service.asks.append((service.now_ms(), self.caller, self._known_version))
+        if not query.get("watch"):
+            self.port.write(message(200, None, json.dumps(service.whole(self.caller)).encode()))
             return
         self.port.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        lists.watchers[self] = None
-        self.tell(False)
-
-    def tell(self, beat: bool) -> None:
-        lists = self._lists
-        told = None if self.caller in lists.still else lists.after(self.caller, self._has)
-        if told is not None:
-            self._has = told["rev"]
-            lists.told.append(Told(lists.now_ms(), self.caller, told["rev"], lists.epoch))
-            self._write(json.dumps(told).encode() + b"\n")
-        elif beat:
+        service.watchers[self] = None
+        self.send_update(False)
+
+    def send_update(self, heartbeat: bool) -> None:
+        """Writes new versions to a watch, or else a heartbeat if one is due."""
+        service = self._service
+        update = None if self.caller in service.frozen else service.after(self.caller, self._known_version)
+        if update is not None:
+            self._known_version = update["rev"]
+            service.sent_versions.append(
+                SentVersion(service.now_ms(), self.caller, update["rev"], service.epoch)
+            )
+            self._write(json.dumps(update).encode() + b"\n")
+        elif heartbeat:
             self._write(b"\n")
 
     def _write(self, line: bytes) -> None:
         self.port.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def malformed(self, problem: str) -> None:
+        """Resets the connection after a malformed request."""
         self.drop()
 
 
 @dataclass(slots=True)
 class ColdReturn:
-    """What an endpoint bears that is back since back_ms: a share of its usual calls a second that rises to
-    all of them in the warm-up time, counted over each span. Above it, it falls over and answers nobody."""
+    """Capacity of an endpoint that serves again since back_ms.
+
+    The capacity is a share of its usual calls per second that rises to all of them during the warm-up time,
+    counted over each span. An endpoint that gets more calls fails and answers no more.
+    """
 
     back_ms: float
     usual: float
@@ -189,78 +217,92 @@
     share: float = 0.3
     span_ms: float = 2000.0
     fallen_ms: float | None = None
-    fullest: float = 0.0  # calls of the fullest span, as a part of what it bears
+    peak_load: float = 0.0  # calls of the busiest span, as a share of the capacity
     arrivals: deque[float] = field(default_factory=deque)
 
-    def stands(self, now_ms: float) -> bool:
-        """Counts a call; False once it has fallen over."""
-        warm = (now_ms - self.back_ms) / self.warm_up_ms
-        if self.fallen_ms is not None or not 0.0 <= warm < 1.0:
+    def accepts_call(self, now_ms: float) -> bool:
+        """Counts a call and returns whether the endpoint still works."""
+        warm_share = (now_ms - self.back_ms) / self.warm_up_ms
+        if self.fallen_ms is not None or not 0.0 <= warm_share < 1.0:
             return self.fallen_ms is None
         self.arrivals.append(now_ms)
         while self.arrivals[0] <= now_ms - self.span_ms:
             self.arrivals.popleft()
-        share = self.share + (1.0 - self.share) * warm
-        part = len(self.arrivals) / most_calls(self.usual * share * self.span_ms / 1000.0)
-        self.fullest = max(self.fullest, part)
-        self.fallen_ms = now_ms if part > 1.0 else None
-        return part <= 1.0
+        share = self.share + (1.0 - self.share) * warm_share
+        load = len(self.arrivals) / most_calls(self.usual * share * self.span_ms / 1000.0)
+        self.peak_load = max(self.peak_load, load)
+        self.fallen_ms = now_ms if load > 1.0 else None
+        return load <= 1.0
 
 
 class Endpoints:
-    """Partners' endpoints: each call is noted, then answered. status, waits: by uid, else all is well; a
-    status of 0 is no answer."""
+    """Stand-in endpoints that record each call and answer it.
+
+    status, waits: by uid, the status of the answers and the wait requested; without an entry, 200 and none.
+    Status 0 is no answer.
+    """
 
     def __init__(self, stage, answer_ms: float = 5.0) -> None:
-        self.stage, self.answer_ms = stage, answer_ms
+        self.stage = stage
+        self.answer_ms = answer_ms
         self.calls: list[Seen] = []
         self.status: dict[str, int] = {}
         self.waits: dict[str, float] = {}
-        self.shut_until: dict[str, float] = {}  # by uid; until then each call is told what is left as a wait
-        self.cold: dict[str, ColdReturn] = {}  # by uid, those that fall over when they are overrun
-        self.flaky: dict[str, float] = {}  # by uid the share of calls that it answers with an error
+        # by uid; until then, each call is asked to wait for the rest of the time
+        self.shut_until: dict[str, float] = {}
+        self.cold: dict[str, ColdReturn] = {}  # by uid; these fail when they are overloaded
+        self.flaky: dict[str, float] = {}  # by uid: share of the calls answered with an error
         self.chance = random.Random("flaky endpoints")
 
     def accept(self, uid: str) -> Callable[[str], EndpointPeer]:
+        """Returns the function that makes the peer of each connection to an endpoint."""
         return lambda caller: EndpointPeer(self, uid, caller)
 
 
 class EndpointPeer(Server):
+    """One connection at an endpoint."""
+
     def __init__(self, endpoints: Endpoints, uid: str, caller: str) -> None:
         super().__init__()
-        self._endpoints, self._uid, self._caller = endpoints, uid, caller
+        self._endpoints = endpoints
+        self._uid = uid
+        self._caller = caller
 
     def asked(self, method: str, target: str, fields: dict[str, str], body: bytes) -> None:
-        told = self._endpoints
-        status = told.status.get(self._uid, 200)
-        if self._uid in told.flaky and told.chance.random() < told.flaky[self._uid]:
+        """Records a call and schedules its answer."""
+        endpoints = self._endpoints
+        status = endpoints.status.get(self._uid, 200)
+        if self._uid in endpoints.flaky and endpoints.chance.random() < endpoints.flaky[self._uid]:
             status = 500
-        now_ms = told.stage.now_ms()
-        if self._uid in told.cold and not told.cold[self._uid].stands(now_ms):
+        now_ms = endpoints.stage.now_ms()
+        if self._uid in endpoints.cold and not endpoints.cold[self._uid].accepts_call(now_ms):
             status = 0
-        left_ms = int(told.shut_until.get(self._uid, 0.0) - now_ms)
+        left_ms = int(endpoints.shut_until.get(self._uid, 0.0) - now_ms)
         if left_ms > 0:
             status = 429
-        told.calls.append(Seen(now_ms, self._caller, fields["request-id"], self._uid, status))
+        endpoints.calls.append(Seen(now_ms, self._caller, fields["request-id"], self._uid, status))
         if not status:
             return
-        wait_ms = left_ms if left_ms > 0 else told.waits.get(self._uid)
+        wait_ms = left_ms if left_ms > 0 else endpoints.waits.get(self._uid)
         wait = {"X-Come-Back-Ms": wait_ms} if status == 429 and wait_ms is not None else None
-        told.stage.after(told.answer_ms, self._answer, message(status, wait))
+        endpoints.stage.after(endpoints.answer_ms, self._answer, message(status, wait))
 
     def _answer(self, text: bytes) -> None:
         if not self.gone:
             self.port.write(text)
 
     def malformed(self, problem: str) -> None:
+        """Resets the connection after a malformed request."""
         self.gone = True
         self.port.abort()
 
 
 @dataclass(slots=True)
-class Handed:
-    """One document as its client saw it. status: 0 while there was no answer, -1 where the connection
-    broke."""
+class SubmittedDocument:
+    """One document as its client sees it.
+
+    status is 0 while there is no answer, and -1 if the connection broke.
+    """
 
     doc: str
     sender: str
@@ -274,58 +316,74 @@
 
 
 class Clients:
-    """Hands documents in, each on a connection of its own."""
+    """Submits documents, each on a connection of its own."""
 
     def __init__(self, stage, where: Callable[[str], tuple[str, int]]) -> None:
-        self.stage, self._where = stage, where
-        self.handed: dict[str, Handed] = {}
+        self.stage = stage
+        self._where = where
+        self.handed: dict[str, SubmittedDocument] = {}
 
     def hand_in(
         self, sender: str, doc: str, destination: int = 1, kind: str = "sync", left_ms: int = 8000
-    ) -> Handed:
-        made = self.handed[doc] = Handed(doc, sender, destination, self.stage.now_ms(), kind)
-        text = (
+    ) -> SubmittedDocument:
+        """Submits a document to a sender."""
+        document = self.handed[doc] = SubmittedDocument(doc, sender, destination, self.stage.now_ms(), kind)
+        request = (
             f"POST /{kind} HTTP/1.1\r\nHost: api\r\nRequest-Id: {doc}\r\nRequest-Timeout-Ms: {left_ms}\r\n"
             f"X-Consignee: dest={destination}\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello"
         ).encode()
-        self.stage.reach(self._where(sender), Hand(self, made, text), lambda: self.over(made, -1))
-        return made
-
-    def over(self, handed: Handed, status: int) -> None:
-        if not handed.answered_ms:
-            handed.status, handed.answered_ms = status, self.stage.now_ms()
+        self.stage.reach(
+            self._where(sender),
+            ClientConnection(self, document, request),
+            lambda: self.record_answer(document, -1),
+        )
+        return document
+
+    def record_answer(self, document: SubmittedDocument, status: int) -> None:
+        """Records the answer to a document, or its absence."""
+        if not document.answered_ms:
+            document.status = status
+            document.answered_ms = self.stage.now_ms()
 
     def taken(self) -> set[str]:
+        """Returns the documents that senders accepted."""
         return {each.doc for each in self.handed.values() if each.status == 202}
 
 
-class Hand:
+class ClientConnection:
     """The client's end of one connection."""
 
-    def __init__(self, clients: Clients, handed: Handed, text: bytes) -> None:
-        self._clients, self._handed, self._text = clients, handed, text
+    def __init__(self, clients: Clients, document: SubmittedDocument, request: bytes) -> None:
+        self._clients = clients
+        self._document = document
+        self._request = request
         self._parser = httptools.HttpResponseParser(self)
         self.port = None
 
     def opened(self, port) -> None:
+        """Sends the request."""
         self.port = port
-        port.write(self._text)
+        port.write(self._request)
 
     def received(self, data: bytes) -> None:
+        """Parses the answer."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._clients.over(self._handed, -1)
+            self._clients.record_answer(self._document, -1)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._handed.fields[name.decode().lower()] = value.decode()
+        """Stores a header field of the answer."""
+        self._document.fields[name.decode().lower()] = value.decode()
 
     def on_message_complete(self) -> None:
-        self._handed.wait_s = float(self._handed.fields.get("retry-after", 0.0))
-        self._clients.over(self._handed, self._parser.get_status_code())
+        """Records the answer and closes the connection."""
+        self._document.wait_s = float(self._document.fields.get("retry-after", 0.0))
+        self._clients.record_answer(self._document, self._parser.get_status_code())
         self.port.close()
 
     def ended(self, reset: bool) -> None:
-        self._clients.over(self._handed, -1)
+        """Records that the connection ended without an answer."""
+        self._clients.record_answer(self._document, -1)
         if not reset:
             self.port.close()
--- a/birchstack/emulator/rig/script.py
+++ b/birchstack/emulator/rig/script.py
@@ -1,6 +1,6 @@
-"""A rig's day as TOML: who is there, and what is done to whom at which second.
+"""Scripts of a rig: TOML files with the parties, and the faults injected at each time.
 
-Owns the names of the steps and their checks. Must never play anything but through a rig's own calls.
+Steps act only through the public methods of the rig, its links and its processes.
 
     name = "cut off while an endpoint is taken out"
     seconds = 4.0
@@ -32,12 +32,15 @@
 
 
 class ScriptError(Exception):
-    """Names the file, the key's path and what is wrong."""
+    """A script is malformed. The text names the file, the path of the key and the problem."""
 
 
 class Step(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """link: from and to, "*" for any that there is. name: a process; of: whose folder or which sender.
-    states: by endpoint, for publish. number: of a version, for restore. ms, rate: for delay and slow."""
+    """One step of a script.
+
+    link: caller and target, "*" for any existing one. name: a process. of: the process whose folder or sender
+    is used. states: by endpoint, for publish. number: the version for restore. ms, rate: for delay and slow.
+    """
 
     at: Annotated[float, Meta(ge=0.0)]
     do: Do
@@ -53,6 +56,8 @@
 
 
 class Script(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """A run: the parties of the rig, and the steps by their time."""
+
     name: str
     seconds: Annotated[float, Meta(gt=0.0, le=600.0)] = 5.0
     senders: Many = 5
@@ -64,28 +69,34 @@
 
 
 def decode(text: bytes, path: str) -> Script:
+    """Returns the script of a TOML text; path is used in error messages."""
     try:
-        told = msgspec.toml.decode(text, type=Script)
+        script = msgspec.toml.decode(text, type=Script)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
         raise ScriptError(f"{path}: {problem}") from problem
-    names = {f"n{at + 1}" for at in range(told.senders)} | {f"k{at + 1}" for at in range(told.keepers)}
-    for at, step in enumerate(told.step):
-        where = f"{path}: `$.step[{at}]`"
+    names = {f"n{index + 1}" for index in range(script.senders)} | {
+        f"k{index + 1}" for index in range(script.keepers)
+    }
+    for index, step in enumerate(script.step):
+        location = f"{path}: `$.step[{index}]`"
         if step.do in LINKS and step.link is None:
-            raise ScriptError(f"{where}: {step.do!r} wants link")
+            raise ScriptError(f"{location}: {step.do!r} needs link")
         if step.do in PROCESSES:
             known = step.name in names
             if step.do in ("beside", "clone"):
                 names.add(step.name)
                 known = bool(step.name) and step.of in names
             if not known:
-                raise ScriptError(f"{where}: name, of: {step.name!r}, {step.of!r} is no process of this day")
+                raise ScriptError(
+                    f"{location}: name, of: {step.name!r}, {step.of!r} is no process of this day"
+                )
         if step.do == "publish" and not step.states:
-            raise ScriptError(f"{where}: 'publish' wants states")
-    return told
+            raise ScriptError(f"{location}: 'publish' needs states")
+    return script
 
 
 def load(path: str) -> Script:
+    """Returns the script of a TOML file."""
     try:
         return decode(Path(path).read_bytes(), path)
     except OSError as problem:
@@ -93,20 +104,20 @@
 
 
 async def carry_out(rig: Rig, step: Step) -> None:
-    """One step, by the rig's own calls."""
+    """Carries out one step on the rig."""
     if step.do in LINKS:
         for link in _links(rig, *step.link):
-            words = {"delay": (step.ms,), "slow": (step.rate,)}.get(step.do, ())
-            ways = () if step.do in ("refuse", "reset") else (step.way,)
-            getattr(link, step.do)(*words, *ways)
+            values = {"delay": (step.ms,), "slow": (step.rate,)}.get(step.do, ())
+            way_values = () if step.do in ("refuse", "reset") else (step.way,)
+            getattr(link, step.do)(*values, *way_values)
     elif step.do == "publish":
         rig.list.publish(**step.states)
     elif step.do == "restore":
         rig.list.restore(step.number, step.epoch)
     elif step.do == "stand_still":
-        rig.list.still.add(step.name)
+        rig.list.frozen.add(step.name)
     elif step.do == "move_on":
-        rig.list.still.discard(step.name)
+        rig.list.frozen.discard(step.name)
     elif step.do == "beside":
         rig.add_sender(step.name, of=step.of)
         await rig[step.name].start()
@@ -124,21 +135,23 @@
         getattr(rig[step.name], step.do)()
 
 
-def _links(rig: Rig, a: str, b: str) -> list:
-    return [rig.link(a, b)] if "*" not in (a, b) else rig.links_of(a, b)
+def _links(rig: Rig, caller: str, target: str) -> list:
+    """Returns the link of two parties, or all existing ones that match "*"."""
+    return [rig.link(caller, target)] if "*" not in (caller, target) else rig.links_of(caller, target)
 
 
-async def play(told: Script, rig: Rig) -> None:
-    """The day on a rig that stands; at its end there is no new traffic."""
+async def play(script: Script, rig: Rig) -> None:
+    """Runs a script on a rig that is ready; returns after the documents have their answers."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    rig.load(told.per_second)
-    for step in sorted(told.step, key=lambda each: each.at):
+    rig.load(script.per_second)
+    for step in sorted(script.step, key=lambda each: each.at):
         await asyncio.sleep(max(0.0, began + step.at - loop.time()))
         await carry_out(rig, step)
-    await asyncio.sleep(max(0.0, began + told.seconds - loop.time()))
+    await asyncio.sleep(max(0.0, began + script.seconds - loop.time()))
     await rig.quiet()
 
 
-def rig_of(told: Script, folder: Path, **words: object) -> Rig:
-    return Rig(folder, told.senders, told.keepers, told.endpoints, told.destinations, **words)
+def rig_of(script: Script, folder: Path, **options: object) -> Rig:
+    """Returns a rig with the parties of a script."""
+    return Rig(folder, script.senders, script.keepers, script.endpoints, script.destinations, **options)
--- a/birchstack/emulator/rig/site.py
+++ b/birchstack/emulator/rig/site.py
@@ -1,7 +1,4 @@
-"""What a rig's processes are told: configurations of senders and keepers, files of the fleet.
-
-Owns these texts, in the platform's own words. Must never start anything.
-"""
+"""Configurations of a rig's processes: senders, keepers and the fleet's file, with the platform's keys."""
 
 from __future__ import annotations
 
@@ -37,7 +34,7 @@
 
 
 def entry(uid: str, destination: int, state: str = "active") -> dict:
-    """One line of the list, but for its address, which each sender is told for itself."""
+    """Returns an entry of the endpoint list without its address, which differs by sender."""
     return {
         "uid": uid,
         "az": "a",
@@ -60,6 +57,7 @@
     senders: int,
     **more: object,
 ) -> dict:
+    """Returns the configuration of a sender."""
     return {
         "name": name,
         "listen": listen,
@@ -84,13 +82,16 @@
     silent_s: float = 10.0,
     **more: object,
 ) -> str:
-    """doors: by sender, its own and those of processes that follow it."""
+    """Returns the configuration of a keeper, as TOML.
+
+    doors: by sender, its own operators' address and those of its further processes.
+    """
     text = [f"name = {json.dumps(name)}", f"store = {json.dumps(store)}"]
     text += [f"{key} = {json.dumps(value)}" for key, value in more.items()]
     if lists:
         text.append(f"[lists]\nat = {json.dumps(lists)}\nbehind_s = {behind_s}")
     text.append(f"[asks]\nevery_s = {every_s}\ntimeout_s = 1.0\npause_s = 1.0\nsilent_s = {silent_s}")
-    for sender_name, (first, *also) in doors.items():
-        text.append(f"[[senders]]\nname = {json.dumps(sender_name)}\nat = {json.dumps(first)}")
-        text.append(f"also = {json.dumps(also)}")
+    for sender_name, (first_address, *others) in doors.items():
+        text.append(f"[[senders]]\nname = {json.dumps(sender_name)}\nat = {json.dumps(first_address)}")
+        text.append(f"also = {json.dumps(others)}")
     return "\n".join(text) + "\n"
--- a/birchstack/emulator/rig/virtual.py
+++ b/birchstack/emulator/rig/virtual.py
@@ -1,8 +1,8 @@
-"""A rig in virtual time: the same parties and links, senders and keepers as emulated processes in one.
+"""Rig in virtual time, with senders and keepers as emulated processes in one process.
 
-Owns the emulated processes, their machines and disks. The senders are net.sender.Node with the fleet's
-audit log, the keepers keeper.process.Collector, as they ship; only the machine, the loop and the network
-below them are others.
+Parties and links are those of the real rig. The senders are net.sender.Node with the fleet's audit log, the
+keepers keeper.process.Collector, both unchanged; only the machine, the event loop and the network below them
+are emulated.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from birchstack.emulator.network import Network
 from birchstack.emulator.rig import site
 from birchstack.emulator.rig.links import Link
-from birchstack.emulator.rig.parties import Clients, Endpoints, Lists
+from birchstack.emulator.rig.parties import Clients, Endpoints, ListService
 from birchstack.emulator.virtual import WALL_MS, Stage
 from birchstack.fleet import audit_log
 from birchstack.fleet import settings as fleet_settings
@@ -28,64 +28,78 @@
 from birchstack.net.machine import Machine, PersistentClock
 from birchstack.net.sender import Node
 
-DELAY_MS = 2.0
-START_MS = 100.0
+DELAY_MS = 2.0  # latency of the network
+START_MS = 100.0  # from the start of a process to its first instruction
 
 
 class FleetMachine(Machine):
-    """One machine for all processes, but that the wall clock of each can be stepped alone."""
+    """The machine of one process; all share the clock, but each wall clock can be stepped alone."""
 
     def __init__(self, rig: VirtualRig, process: Process) -> None:
-        self._rig, self._process = rig, process
+        self._rig = rig
+        self._process = process
 
     def wall_ms(self) -> float:
+        """Returns the wall clock's time, with its steps."""
         return WALL_MS + self._rig.clock.now_ms() + self._process.stepped_ms
 
     def steady_ms(self) -> float:
+        """Returns the steady clock's time."""
         return 5_000_000.0 + self._rig.clock.now_ms()
 
     def boot_id(self) -> str:
+        """Returns the same boot id for all processes."""
         return "one-boot"
 
     def unique_name(self) -> str:
+        """Returns a random name, drawn from the rig's generator."""
         return f"{self._rig.chance.getrandbits(64):016x}"
 
     def folder(self, path: str) -> MemoryFolder:
+        """Returns the folder in memory, whatever the path."""
         return self._process.folder
 
     async def listen(self, loop: ProcessLoop, where, protocol, *how):
+        """Listens on the emulated network."""
         return await loop.create_server(protocol, *where)
 
     def max_descriptors(self) -> int:
+        """Returns a limit that is never reached."""
         return 1 << 20
 
     def on_signals(self, loop: ProcessLoop, end, reload) -> None:
+        """Stores the handler of SIGTERM."""
         self._process.on_term = end
 
 
 class Process:
-    """One emulated process over its lives; its disk stays."""
+    """One emulated process over its restarts; its disk persists."""
 
     def __init__(self, rig: VirtualRig, name: str) -> None:
-        self.rig, self.name = rig, name
-        self.disk, self.stepped_ms = Disk(), 0.0
+        self.rig = rig
+        self.name = name
+        self.disk = Disk()
+        self.stepped_ms = 0.0  # by how much the wall clock was stepped
         self.loop: ProcessLoop | None = None
         self.folder: MemoryFolder | None = None
         self.on_term: Callable[[], None] | None = None
         self.faults: list[str] = []
-        self.lives: list[tuple[str, float]] = []  # what happened to it, and when
+        self.lives: list[tuple[str, float]] = []  # event and time
         self.on_go: Callable[[], None] = lambda: None
-        self.lost_disk = False  # its disk was full or lost at some time
+        self.lost_disk = False  # its disk was full, corrupt or lost at some time
 
     @property
     def runs(self) -> bool:
+        """Whether the process is running."""
         return self.loop is not None and not self.loop.dead
 
     def start(self) -> None:
+        """Starts the process, unless it is running."""
         if self.runs:
             return
         rig = self.rig
-        self.folder, self.on_term = MemoryFolder(self.disk), None
+        self.folder = MemoryFolder(self.disk)
+        self.on_term = None
         self.disk.strike = None
         self.loop = ProcessLoop(rig.clock, rig.network, self.name)
         self.loop.on_fault = self._fault
@@ -95,14 +109,16 @@
     def _main(self) -> None:
         raise NotImplementedError
 
-    def _note(self, what: str) -> None:
-        self.lives.append((what, self.rig.clock.now_ms()))
+    def _note(self, event: str) -> None:
+        """Records an event of the process and its time."""
+        self.lives.append((event, self.rig.clock.now_ms()))
 
     def _fault(self, context: dict) -> None:
-        problem = context.get("exception")
-        self.faults.append(f"{context.get('message')}: {type(problem).__name__}: {problem}")
+        exception = context.get("exception")
+        self.faults.append(f"{context.get('message')}: {type(exception).__name__}: {exception}")
 
     def over(self, how: str) -> None:
+        """Ends the process, if it is running."""
         if self.runs:
             self._note(how)
             self.loop.end()
@@ -110,17 +126,21 @@
             self.rig.network.died(self.loop)
 
     def kill(self) -> None:
+        """Ends the process as SIGKILL does."""
         self.over("killed")
 
     def kill_at_write(self, write: int, how: str) -> None:
+        """Kills the process at the write with that number from now; how: before, torn or after."""
         self.disk.died = lambda: self.over("killed")
         self.disk.strike = (self.disk.writes + write, how)
 
     def term(self) -> None:
+        """Calls the handler of SIGTERM."""
         if self.runs and self.on_term:
             self.loop.call_soon(self.on_term)
 
     def stand(self, still: bool) -> None:
+        """Pauses the process as SIGSTOP does, or continues it."""
         if self.runs and self.loop.still != still:
             self._note("stopped" if still else "let go")
             self.loop.stand(still)
@@ -129,10 +149,13 @@
 
 
 class SenderProcess(Process):
-    node: Node | None = None  # of its last life
+    """A process of a sender."""
+
+    node: Node | None = None  # the latest one
 
     def _main(self) -> None:
-        rig, name = self.rig, self.name
+        rig = self.rig
+        name = self.name
         raw = site.sender(
             name,
             "{}:{}".format(*rig.place(name)),
@@ -145,9 +168,11 @@
         )
         raw["settings"]["rules"] = {**raw["settings"]["rules"], **rig.rules}
         rig.on_known(name, raw["known"])
-        told = rig.fleet_file
-        config = fleet_settings.reserve_trail_space(told, decode(raw, {}))
-        self.node = node = Node(config, self.loop, FleetMachine(rig, self), audit_log.audit_log_factory(told))
+        fleet_file = rig.fleet_file
+        config = fleet_settings.reserve_trail_space(fleet_file, decode(raw, {}))
+        self.node = node = Node(
+            config, self.loop, FleetMachine(rig, self), audit_log.audit_log_factory(fleet_file)
+        )
         node.ended.add_done_callback(lambda future: self.over("ended"))
         self.loop.create_task(node.start()).add_done_callback(self._started)
 
@@ -157,13 +182,17 @@
 
 
 class KeeperProcess(Process):
+    """A process of a keeper, with a store in memory."""
+
     def __init__(self, rig: VirtualRig, name: str) -> None:
         super().__init__(rig, name)
         self.store = Store(":memory:")
 
     def _main(self) -> None:
         rig = self.rig
-        doors = {each: ["{}:{}".format(*rig.link(self.name, f"{each}:ops").where)] for each in rig.senders}
+        doors = {
+            sender: ["{}:{}".format(*rig.link(self.name, f"{sender}:ops").where)] for sender in rig.senders
+        }
         lists = "{}:{}".format(*rig.link(self.name, "list").where)
         text = site.keeper(self.name, ":memory:", doors, lists, 0.25)
         machine = FleetMachine(rig, self)
@@ -178,15 +207,17 @@
         collector.start()
 
     def over(self, how: str) -> None:
+        """Ends the process and rolls its store back."""
         super().over(how)
-        self.store.rollback()  # what was not committed was never had
+        self.store.rollback()  # as a crash loses what was not committed
 
     def reader(self) -> StoreReader:
+        """Returns a reader of the store, as of now."""
         return StoreReader(self.store.db, WALL_MS + self.rig.clock.now_ms())
 
 
 class VirtualRig:
-    """senders, keepers: how many. Everything is started; run() lets time pass."""
+    """The rig in virtual time. senders, keepers: their numbers. After start(), run() advances the time."""
 
     def __init__(
         self,
@@ -199,8 +230,10 @@
         signals: fleet_settings.SignalSettings | None = None,
         rules: dict | None = None,
     ) -> None:
-        """trail_bytes: may be less than a file could say, so that a short day folds some. signals: the table
-        of the fleet's file. rules: of the senders' settings, in place of the usual ones."""
+        """trail_bytes: may be below the minimum of a fleet's file, so that a short run folds a trail.
+
+        signals: the table of the fleet's file. rules: settings of the senders that replace the usual ones.
+        """
         self.chance = random.Random(f"virtual rig {seed}")
         self.clock = Clock()
         self.network = Network(self.clock, seed, DELAY_MS, DELAY_MS, 0.0)
@@ -209,15 +242,15 @@
             fleet_settings.TrailSettings(trail_bytes), signals=signals
         )
         self.rules = rules or {}
-        self.uids = {f"e{at + 1}": at % destinations + 1 for at in range(endpoints)}
-        self._places: dict[str, tuple[str, int]] = {}
+        self.uids = {f"e{index + 1}": index % destinations + 1 for index in range(endpoints)}
+        self._addresses: dict[str, tuple[str, int]] = {}
         self.links: dict[tuple[str, str], Link] = {}
         self.endpoints = Endpoints(self.stage)
-        self.list = Lists(self.stage, self._address)
+        self.list = ListService(self.stage, self._address)
         self.list.begin([site.entry(uid, destination) for uid, destination in self.uids.items()])
         self.clients = Clients(self.stage, self.place)
-        self.senders = [f"n{at + 1}" for at in range(senders)]
-        self.keepers = [f"k{at + 1}" for at in range(keepers)]
+        self.senders = [f"n{index + 1}" for index in range(senders)]
+        self.keepers = [f"k{index + 1}" for index in range(keepers)]
         self.on_known: Callable[[str, dict], None] = lambda name, known: None
         self.processes: dict[str, Process] = {
             **{name: SenderProcess(self, name) for name in self.senders},
@@ -228,31 +261,39 @@
         return self.processes[name]
 
     def start(self) -> None:
+        """Starts all processes."""
         for each in self.processes.values():
             each.start()
 
     def place(self, name: str) -> tuple[str, int]:
-        if name not in self._places:
-            high, low = divmod(len(self._places), 250)
-            self._places[name] = f"127.9.{high}.{low + 1}", 7000
-        return self._places[name]
-
-    def link(self, a: str, b: str) -> Link:
-        if (a, b) not in self.links:
-            if b == "list":
+        """Returns the address of a party."""
+        if name not in self._addresses:
+            high, low = divmod(len(self._addresses), 250)
+            self._addresses[name] = f"127.9.{high}.{low + 1}", 7000
+        return self._addresses[name]
+
+    def link(self, caller: str, target: str) -> Link:
+        """Returns the link from a caller to a target, which is created at its first use."""
+        if (caller, target) not in self.links:
+            if target == "list":
                 to = self.list.accept
-            elif b in self.uids:
-                to = self.endpoints.accept(b)
+            elif target in self.uids:
+                to = self.endpoints.accept(target)
             else:
-                to = self.place(b)
-            self.links[a, b] = Link(self.stage, a, b, to, self.place(f"{a}>{b}"))
-        return self.links[a, b]
+                to = self.place(target)
+            self.links[caller, target] = Link(
+                self.stage, caller, target, to, self.place(f"{caller}>{target}")
+            )
+        return self.links[caller, target]
 
     def _address(self, caller: str, uid: str) -> str:
+        """Returns the address of an endpoint for a caller."""
         return "{}:{}".format(*self.link(caller, uid).where)
 
     def wall(self, stage_ms: float) -> float:
+        """Returns the wall clock's time at a time of the stage."""
         return WALL_MS + stage_ms
 
     def run(self, seconds: float) -> None:
+        """Advances the virtual time."""
         self.clock.run(self.clock.now + seconds)
--- a/tests/test_cold_restart.py
+++ b/tests/test_cold_restart.py
@@ -76,7 +76,7 @@
         await asyncio.gather(*(restart(name) for name in rig.senders))
         await asyncio.sleep(AFTER_S)
         assert cold.fallen_ms is None, f"failed {cold.fallen_ms - cold.back_ms:.0f} ms after its return"
-        assert cold.fullest > 0.05, "the warm-up continues"
+        assert cold.peak_load > 0.05, "the warm-up continues"
         await rig.quiet()
 
         def ended():
--- a/tests/test_fleet_lag.py
+++ b/tests/test_fleet_lag.py
@@ -113,12 +113,12 @@
         rig.link("n1", "list").cut()
         rig.list.publish(e1="leaving")
         await rig.until(lambda: verdicts(rig) == {("n1", "behind")})
-        rig.list.still.add("n2")  # it gets heartbeats, but no new versions
+        rig.list.frozen.add("n2")  # it gets heartbeats, but no new versions
         rig.list.publish(e1="active")
         await rig.until(lambda: verdicts(rig) == {("n1", "behind"), ("n2", "behind")})
         rows = {each.sender: each.evidence for each in Stores([rig.store("k1")], rig.now_ms()).stragglers()}
         assert "hears nothing" in rows["n1"] and "its watch beats" in rows["n2"]
-        rig.list.still.clear()
+        rig.list.frozen.clear()
         rig.link("n1", "list").open()
         await rig.until(lambda: verdicts(rig) == set())
 
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -207,9 +207,9 @@
     [
         ("seconds = 0\n", "$.seconds"),
         ("[[step]]\nat = 1.0\ndo = 'jump'\n", "$.step[0].do"),
-        ("[[step]]\nat = 1.0\ndo = 'cut'\n", "wants link"),
+        ("[[step]]\nat = 1.0\ndo = 'cut'\n", "needs link"),
         ("[[step]]\nat = 1.0\ndo = 'kill'\nname = 'n9'\n", "'n9'"),
-        ("[[step]]\nat = 1.0\ndo = 'publish'\n", "wants states"),
+        ("[[step]]\nat = 1.0\ndo = 'publish'\n", "needs states"),
         ("stages = 3\n", "stages"),
     ],
 )
