--- a/birchstack/emulator/explore.py
+++ b/birchstack/emulator/explore.py
@@ -59,19 +59,19 @@
 def _smaller_scenarios(scenario: Scenario) -> list[Scenario]:
     """Returns reduced scenarios: with one fault less, shorter, or with one fault shorter."""
     replace = msgspec.structs.replace
-    troubles = scenario.troubles
+    faults = scenario.troubles
     smaller = [
-        replace(scenario, troubles=troubles[:index] + troubles[index + 1 :]) for index in range(len(troubles))
+        replace(scenario, troubles=faults[:index] + faults[index + 1 :]) for index in range(len(faults))
     ]
     if scenario.seconds > 4.0:
         seconds = round(scenario.seconds * 0.7, 1)
         smaller.append(
-            replace(scenario, seconds=seconds, troubles=tuple(each for each in troubles if each.at < seconds))
+            replace(scenario, seconds=seconds, troubles=tuple(each for each in faults if each.at < seconds))
         )
-    for index, trouble in enumerate(troubles):
-        if trouble.seconds > 0.5:
-            shorter = replace(trouble, seconds=round(trouble.seconds / 2.0, 2))
-            smaller.append(replace(scenario, troubles=troubles[:index] + (shorter,) + troubles[index + 1 :]))
+    for index, fault in enumerate(faults):
+        if fault.seconds > 0.5:
+            shorter = replace(fault, seconds=round(fault.seconds / 2.0, 2))
+            smaller.append(replace(scenario, troubles=faults[:index] + (shorter,) + faults[index + 1 :]))
     return smaller
 
 
@@ -98,7 +98,7 @@
 
 
 def run_one(
-    seed: int, base: Scenario | None, max_troubles: int, kinds: tuple[str, ...], shrinks: bool
+    seed: int, base: Scenario | None, max_faults: int, kinds: tuple[str, ...], shrinks: bool
 ) -> Outcome:
     """Runs one scenario with faults drawn from the seed, in a worker process; shrinks it if it fails."""
     import signal
@@ -106,7 +106,7 @@
     def raise_timeout(*arguments: object) -> None:
         raise TimeoutError(f"a run takes more than {RUN_TIMEOUT_S} s: virtual time does not advance")
 
-    scenario = draw(seed, base, max_troubles, kinds)
+    scenario = draw(seed, base, max_faults, kinds)
     drawn_kinds = tuple(each.kind for each in scenario.troubles)
     signal.signal(signal.SIGALRM, raise_timeout)
     signal.alarm(RUN_TIMEOUT_S)
@@ -139,7 +139,7 @@
     count: int,
     seconds: float,
     base: Scenario | None = None,
-    max_troubles: int = 3,
+    max_faults: int = 3,
     kinds: tuple[str, ...] = KINDS,
     cores: int | None = None,
     folder: Path | None = None,
@@ -162,7 +162,7 @@
                 and seed < first + count
                 and time.monotonic() - began < seconds
             ):
-                running.add(pool.submit(run_one, seed, base, max_troubles, kinds, shrinks))
+                running.add(pool.submit(run_one, seed, base, max_faults, kinds, shrinks))
                 seed += 1
             if not running:
                 break
--- a/birchstack/emulator/rig/drawn.py
+++ b/birchstack/emulator/rig/drawn.py
@@ -47,7 +47,7 @@
     "reset",
     "rot",
 )
-MAX_TROUBLES = 4  # faults in a run
+MAX_FAULTS = 4  # faults in a run
 
 
 @dataclass
@@ -134,10 +134,10 @@
     day = Day(seed, senders)
     _schedule_documents(generator, rig, generator.random() < 0.2 if hot is None else hot)
     _schedule_publications(generator, rig)
-    for _ in range(generator.randint(0, MAX_TROUBLES)):
+    for _ in range(generator.randint(0, MAX_FAULTS)):
         kind = generator.choice(kinds)
         day.kinds.append(kind)
-        _schedule_trouble(generator, rig, kind)
+        _schedule_fault(generator, rig, kind)
     return day, rig
 
 
@@ -176,7 +176,7 @@
         rig.list.publish(**{uid: state})
 
 
-def _schedule_trouble(generator: random.Random, rig: VirtualRig, kind: str) -> None:
+def _schedule_fault(generator: random.Random, rig: VirtualRig, kind: str) -> None:
     """Schedules one fault."""
     at = generator.uniform(700.0, RUN_S * 800.0)
     duration_ms = generator.uniform(100.0, 2500.0)
@@ -196,7 +196,7 @@
         rig.stage.after(at + duration_ms, keeper.start)
     else:
         for name in names:
-            _schedule_sender_trouble(
+            _schedule_sender_fault(
                 generator, rig, kind, name, at + generator.uniform(0.0, 300.0), duration_ms
             )
 
@@ -208,7 +208,7 @@
         rig.list.restore(number, f"epoch{generator.randrange(100)}" if epoch else None)
 
 
-def _schedule_sender_trouble(
+def _schedule_sender_fault(
     generator: random.Random, rig: VirtualRig, kind: str, name: str, at: float, duration_ms: float
 ) -> None:
     """Schedules a fault of one sender's process, disk or link to the list."""
--- a/birchstack/emulator/sockets.py
+++ b/birchstack/emulator/sockets.py
@@ -1,9 +1,9 @@
-"""The same day on loopback sockets, against real processes started by the line `run`.
+"""Runs a scenario on loopback sockets, against real processes started by the deploy file's `run`.
 
-Owns the sockets of the model, the processes under test and their folders. Must never touch any process that
-it did not start, nor any address outside 127.0.0.0/8. Delays of the network are added at the model's ends.
-What loopback cannot do is said in the result: a vanished machine still accepts, writes cannot be struck
-or torn (kill -9 comes in their place), the disk does not fill and the clock does not step.
+Only processes started here are ended, and only addresses in 127.0.0.0/8 are used. The delays of the network
+are added at the model's ends of the connections. The result lists the faults that loopback cannot show: a
+vanished machine still accepts connections, a kill at a write and a torn write become SIGKILL, the disk does
+not fill and the clock does not step.
 """
 
 from __future__ import annotations
@@ -31,134 +31,154 @@
 from birchstack.emulator.scenario import Scenario
 from birchstack.emulator.world import World
 
-ORDER_MS = 25.0  # events on two sockets are seen in no sure order within this
-READY_S = 20.0
-LINGER = struct.pack("ii", 1, 0)  # close with a reset
+ORDER_MS = 25.0  # events on two sockets closer than this have no certain order
+READY_S = 20.0  # the senders must be ready within this
+LINGER = struct.pack("ii", 1, 0)  # value of SO_LINGER that closes with a reset
 DEPLOY = Path("deploy/balancer.toml")
 
 
 class SocketError(Exception):
-    """What keeps the day from being played."""
+    """A scenario cannot be run on sockets."""
 
 
 class Host:
     """One listening address of the model."""
 
     def __init__(self, stage: Stage, where: tuple[str, int], name: str, accept: Callable[[], object]) -> None:
-        self._stage, self.where, self.name, self._accept = stage, where, name, accept
+        self._stage = stage
+        self.where = where
+        self.name = name
+        self._accept = accept
         self.refusing = self.dark = False
-        self.forgets_ms, self.forgets_silently = 0.0, False
-        self.ends: dict[End, None] = {}
+        self.forgets_ms = 0.0
+        self.forgets_silently = False
+        self.connections: dict[ConnectionEnd, None] = {}
         self._server: asyncio.Server | None = None
         self.listen()
 
     def listen(self) -> None:
+        """Opens the listening socket."""
         try:
-            door = socket.create_server(self.where, backlog=256)
+            listener = socket.create_server(self.where, backlog=256)
         except OSError as problem:
             raise SocketError(f"{self.where[0]}:{self.where[1]}: {problem.strerror}") from problem
-        self.where = door.getsockname()[:2]  # port 0: one that was free
-        self._stage.start(self._serve(door))
+        self.where = listener.getsockname()[:2]  # the port chosen, if it was 0
+        self._stage.start(self._serve(listener))
 
-    async def _serve(self, door: socket.socket) -> None:
+    async def _serve(self, listener: socket.socket) -> None:
         self._server = await self._stage.loop.create_server(
-            lambda: End(self._stage, self._accept(), self), sock=door
+            lambda: ConnectionEnd(self._stage, self._accept(), self), sock=listener
         )
         if self.refusing:
             self._server.close()
 
     def refuse(self, refuses: bool) -> None:
+        """Refuses connections and resets the existing ones, or accepts them again."""
         if refuses and not self.refusing:
             self.refusing = True
             if self._server:
                 self._server.close()
-            for end in [*self.ends]:
-                end.abort()
+            for connection in [*self.connections]:
+                connection.abort()
         elif not refuses and self.refusing:
             self.refusing = False
             self.listen()
 
     def light(self) -> None:
+        """Ends the dropping of traffic; connections are reset."""
         self.dark = False
-        for end in [*self.ends]:
-            end.abort()
+        for connection in [*self.connections]:
+            connection.abort()
 
     def close(self) -> None:
+        """Stops listening."""
         if self._server:
             self._server.close()
 
 
-class End(asyncio.Protocol):
-    """One connection of the model; it is its peer's port. Bytes are under way for the scenario's delay."""
+class ConnectionEnd(asyncio.Protocol):
+    """The model's end of one connection, and its peer's port. Bytes are delayed as the scenario says."""
 
     def __init__(self, stage: Stage, peer: object, host: Host | None) -> None:
-        self._stage, self._peer, self._host = stage, peer, host
+        self._stage = stage
+        self._peer = peer
+        self._host = host
         self._transport: asyncio.Transport | None = None
-        self._over = False
+        self._closed = False
         self._queue: deque[tuple[float, Callable, tuple]] = deque()
-        self._heard_at = stage.now_ms()
+        self._active_at = stage.now_ms()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """The connection was established."""
         self._transport = transport
         if self._host:
-            self._host.ends[self] = None
+            self._host.connections[self] = None
         self._peer.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        host, now = self._host, self._stage.now_ms()
-        if host and host.forgets_ms and now - self._heard_at >= host.forgets_ms:
+        """Passes bytes to the peer, unless the host drops traffic or forgot the idle connection."""
+        host = self._host
+        now = self._stage.now_ms()
+        if host and host.forgets_ms and now - self._active_at >= host.forgets_ms:
             self.abort()
             return
-        self._heard_at = now
+        self._active_at = now
         if not (host and host.dark):
-            self._under_way(self._peer.received, data)
+            self._schedule(self._peer.received, data)
 
     def eof_received(self) -> bool:
-        self._under_way(self._end, False)
+        """The sender closed its side."""
+        self._schedule(self._end, False)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection was closed or reset."""
         if self._host:
-            self._host.ends.pop(self, None)
+            self._host.connections.pop(self, None)
         self._end(True)
 
     def _end(self, reset: bool) -> None:
-        if not self._over:
-            self._over = True
+        """Tells the peer once that the connection ended."""
+        if not self._closed:
+            self._closed = True
             self._peer.ended(reset)
 
-    def _under_way(self, what: Callable, *words: object) -> None:
+    def _schedule(self, function: Callable, *arguments: object) -> None:
+        """Calls a function after the delay of the network; calls keep their order."""
         delay = self._stage.delay_ms() if self._host else 0.0
         if delay <= 0.0:
-            what(*words)
+            function(*arguments)
             return
-        due = max(self._stage.now_ms() + delay, self._queue[-1][0] if self._queue else 0.0)
-        self._queue.append((due, what, words))
+        due_ms = max(self._stage.now_ms() + delay, self._queue[-1][0] if self._queue else 0.0)
+        self._queue.append((due_ms, function, arguments))
         if len(self._queue) == 1:
-            self._stage.after(delay, self._arrives)
+            self._stage.after(delay, self._deliver_due)
 
-    def _arrives(self) -> None:
+    def _deliver_due(self) -> None:
         while self._queue and self._queue[0][0] <= self._stage.now_ms() + 0.01:
-            _, what, words = self._queue.popleft()
-            what(*words)
+            _, function, arguments = self._queue.popleft()
+            function(*arguments)
         if self._queue:
-            self._stage.after(self._queue[0][0] - self._stage.now_ms(), self._arrives)
+            self._stage.after(self._queue[0][0] - self._stage.now_ms(), self._deliver_due)
 
-    # The port
+    # The port of the peer
 
     def watch(self, left: Callable[[], None]) -> None:
-        """What the sender's end does is seen only when it arrives."""
+        """Does nothing: the end of the sender's side is seen only when it arrives."""
 
     def write(self, data: bytes) -> None:
+        """Sends bytes, unless the host drops traffic."""
         if not (self._host and self._host.dark):
-            self._heard_at = self._stage.now_ms()
-            self._under_way(self._transport.write, data)
+            self._active_at = self._stage.now_ms()
+            self._schedule(self._transport.write, data)
 
     def close(self) -> None:
-        self._over = True
+        """Closes the connection."""
+        self._closed = True
         self._transport.close()
 
     def abort(self) -> None:
+        """Resets the connection."""
         if self._transport:
             with contextlib.suppress(OSError, AttributeError):
                 self._transport.get_extra_info("socket").setsockopt(
@@ -168,50 +188,61 @@
 
 
 class Stage:
-    """Real time and loopback, as the model sees them."""
+    """Real time and loopback sockets, as the model uses them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, scenario: Scenario, seed: int) -> None:
-        self.loop, self._began = loop, loop.time()
-        self._delay, self._jitter = scenario.network.delay_ms, scenario.network.jitter
+        self.loop = loop
+        self._began = loop.time()
+        self._delay = scenario.network.delay_ms
+        self._jitter = scenario.network.jitter
         self._draw = random.Random(f"network {seed}").random
         self.hosts: list[Host] = []
         self._tasks: set[asyncio.Task] = set()
 
     def now_ms(self) -> float:
+        """Returns the time since the start."""
         return (self.loop.time() - self._began) * 1000.0
 
-    def after(self, ms: float, what: Callable, *words: object) -> asyncio.TimerHandle:
-        return self.loop.call_later(max(0.0, ms) / 1000.0, what, *words)
+    def after(self, ms: float, function: Callable, *arguments: object) -> asyncio.TimerHandle:
+        """Calls a function after a delay."""
+        return self.loop.call_later(max(0.0, ms) / 1000.0, function, *arguments)
 
     def delay_ms(self) -> float:
+        """Draws the delay of one transfer."""
         return self._delay * (1.0 + self._jitter * self._draw())
 
-    def start(self, work) -> None:
-        task = self.loop.create_task(work)
+    def start(self, coroutine) -> None:
+        """Runs a coroutine as a task."""
+        task = self.loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def serve(self, where: tuple[str, int], name: str, accept: Callable[[], object]) -> Host:
+        """Listens at an address."""
         for host in self.hosts:
-            if host.where == where:  # another takes the address over
+            if host.where == where:  # the new host takes the address over
                 host.close()
         host = Host(self, where, name, accept)
         self.hosts.append(host)
         return host
 
     def reach(self, where: tuple[str, int], peer: object, refused: Callable[[], None]) -> None:
+        """Connects a peer to an address."""
+
         async def connect() -> None:
             try:
-                await self.loop.create_connection(lambda: End(self, peer, None), *where)
+                await self.loop.create_connection(lambda: ConnectionEnd(self, peer, None), *where)
             except OSError:
                 refused()
 
         self.start(connect())
 
     def refuse(self, host: Host, refuses: bool) -> None:
+        """Makes a host refuse connections, or accept them again."""
         host.refuse(refuses)
 
     def darken(self, host: Host, dark: bool) -> None:
+        """Makes a host drop all traffic, or ends that."""
         if dark:
             host.dark = True
         else:
@@ -219,15 +250,20 @@
 
 
 class Process:
-    """One real sender over its lives."""
+    """One real sender over its restarts."""
 
     def __init__(self, day: SocketDay, number: int, folder: Path) -> None:
-        self._day, self.number, self._folder = day, number, folder
+        self._day = day
+        self.number = number
+        self._folder = folder
         self.process: asyncio.subprocess.Process | None = None
-        self.closing, self.peak_mb, self.down_ms = False, 0.0, 600.0
+        self.closing = False
+        self.peak_mb = 0.0
+        self.down_ms = 600.0  # from the exit to the restart
         (folder / "state").mkdir(parents=True)
 
     async def start(self) -> None:
+        """Writes the configuration and starts the process."""
         day = self._day
         path = self._folder / "config.json"
         path.write_text(json.dumps(day.world.config(self.number, str(self._folder / "state"))))
@@ -241,10 +277,10 @@
             stderr=asyncio.subprocess.PIPE,
             stdin=asyncio.subprocess.DEVNULL,
         )
-        day.stage.start(self._listen(self.process))
+        day.stage.start(self._read_log(self.process))
 
-    async def _listen(self, process: asyncio.subprocess.Process) -> None:
-        """Its log until its end."""
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
+        """Reads the log of a process until it exits, then restarts the sender."""
         day = self._day
         async for raw in process.stderr:
             line = raw.decode(errors="replace").strip()
@@ -264,22 +300,27 @@
         if not day.over:
             await self.start()
 
-    def memory(self) -> None:
+    def update_peak_memory(self) -> None:
+        """Updates the peak memory from /proc."""
         with contextlib.suppress(OSError, ValueError, AttributeError):
             with open(f"/proc/{self.process.pid}/status", encoding="ascii") as file:
-                words = dict(line.split(":", 1) for line in file)
-            self.peak_mb = max(self.peak_mb, int(words["VmHWM"].split()[0]) / 1024.0)
+                fields = dict(line.split(":", 1) for line in file)
+            self.peak_mb = max(self.peak_mb, int(fields["VmHWM"].split()[0]) / 1024.0)
 
     def signal(self, number: int) -> None:
+        """Sends a signal, if the process is running."""
         if self.process and self.process.returncode is None:
             self.process.send_signal(number)
 
 
 class Senders:
+    """Process faults, as the model injects them. Those that loopback cannot show are counted."""
+
     def __init__(self, day: SocketDay) -> None:
         self._day = day
 
     def term(self, number: int, down_ms: float) -> None:
+        """Sends SIGTERM to a sender."""
         process = self._day.processes[number]
         if process.process.returncode is None and not process.closing:
             process.closing = True
@@ -287,79 +328,91 @@
             process.signal(signal.SIGTERM)
 
     def kill(self, number: int, down_ms: float) -> None:
+        """Sends SIGKILL to a sender."""
         self._day.processes[number].signal(signal.SIGKILL)
 
     def kill_at_write(self, number: int, write: int, how: str, down_ms: float) -> None:
-        self._day.left_out["a struck write became kill -9"] += 1
+        """Sends SIGKILL in place of a kill at a write."""
+        self._day.not_simulated["a struck write became kill -9"] += 1
         self.kill(number, down_ms)
 
     def stand(self, number: int, still: bool) -> None:
+        """Pauses a sender, or continues it."""
         self._day.processes[number].signal(signal.SIGSTOP if still else signal.SIGCONT)
 
     def fill_disk(self, number: int, full: bool) -> None:
-        self._day.left_out["a full disk"] += full
+        """Counts a full disk, which is not simulated."""
+        self._day.not_simulated["a full disk"] += full
 
     def step_clock(self, seconds: float) -> None:
-        self._day.left_out["a step of the clock"] += 1
+        """Counts a step of the clock, which is not simulated."""
+        self._day.not_simulated["a step of the clock"] += 1
 
 
 class SocketDay:
+    """One run of a scenario with a seed against real processes."""
+
     def __init__(self, scenario: Scenario, seed: int, port: int, root: Path, keep_log: bool) -> None:
-        deploy = root / DEPLOY
+        deploy_file = root / DEPLOY
         try:
-            self.run = tomllib.loads(deploy.read_text())["run"]
+            self.run = tomllib.loads(deploy_file.read_text())["run"]
         except (OSError, KeyError, tomllib.TOMLDecodeError) as problem:
-            raise SocketError(f"{deploy}: {problem}") from problem
-        self.scenario, self.seed, self.root = scenario, seed, root
+            raise SocketError(f"{deploy_file}: {problem}") from problem
+        self.scenario = scenario
+        self.seed = seed
+        self.root = root
         self.stage = Stage(asyncio.get_running_loop(), scenario, seed)
         self.judge = Judge(scenario, keep_log, order_ms=ORDER_MS)
         self.lines: deque[str] = deque(maxlen=2000)
-        self.left_out: Counter[str] = Counter()
+        self.not_simulated: Counter[str] = Counter()
         self.over = False
-        self._opened = asyncio.Event()
+        self._all_ready = asyncio.Event()
         self._ready: set[int] = set()
-        self._scratch = Path(tempfile.mkdtemp(prefix="birchstack-"))
+        self._temporary_folder = Path(tempfile.mkdtemp(prefix="birchstack-"))
         self.world = World(scenario, seed, self.stage, self.judge, port)
         self.world.senders = Senders(self)
         self.processes = [
-            Process(self, number, self._scratch / f"n{number}") for number in range(scenario.senders)
+            Process(self, number, self._temporary_folder / f"n{number}") for number in range(scenario.senders)
         ]
 
     def ready(self, number: int) -> None:
+        """A sender is ready."""
         self.judge.ready(self.stage.now_ms(), number)
         self._ready.add(number)
         if len(self._ready) == self.scenario.senders:
-            self._opened.set()
+            self._all_ready.set()
 
     async def play(self, progress=None) -> Result:
-        began, spent = time.monotonic(), time.process_time()
+        """Runs the scenario and returns its result."""
+        began = time.monotonic()
+        cpu_began_s = time.process_time()
         try:
             self.world.begin()
-            await asyncio.sleep(0.1)  # the listeners stand
+            await asyncio.sleep(0.1)  # until the listeners are open
             for process in self.processes:
                 await process.start()
             try:
-                await asyncio.wait_for(self._opened.wait(), READY_S)
+                await asyncio.wait_for(self._all_ready.wait(), READY_S)
             except TimeoutError:
                 raise SocketError("the senders are not ready: " + " | ".join([*self.lines][-3:])) from None
             self.world.open()
-            until = self.scenario.seconds + self.world.rest_ms() / 1000.0
-            at = 0.0
-            while at < until:
-                await asyncio.sleep(min(0.5, until - at))
-                at += 0.5
+            end_s = self.scenario.seconds + self.world.rest_ms() / 1000.0
+            elapsed_s = 0.0
+            while elapsed_s < end_s:
+                await asyncio.sleep(min(0.5, end_s - elapsed_s))
+                elapsed_s += 0.5
                 for process in self.processes:
-                    process.memory()
+                    process.update_peak_memory()
                 if progress:
-                    progress(min(1.0, at / until))
+                    progress(min(1.0, elapsed_s / end_s))
             self.judge.finish(self.stage.now_ms())
         finally:
             await self._end()
         figures = Counter(self.judge.counts)
         figures["connections opened by senders"] = self.world.connections
         figures["most memory of a sender, MB"] = round(max(process.peak_mb for process in self.processes))
-        figures.update({f"not played: {what}": many for what, many in self.left_out.items()})
-        memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
+        figures.update({f"not played: {fault}": count for fault, count in self.not_simulated.items()})
+        memory_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
         return Result.of(
             self.scenario,
             self.seed,
@@ -367,12 +420,12 @@
             self.judge,
             figures,
             time.monotonic() - began,
-            time.process_time() - spent,
-            memory,
+            time.process_time() - cpu_began_s,
+            memory_mb,
         )
 
     async def _end(self) -> None:
-        """Only processes that this day started are ended."""
+        """Ends the processes that this run started, and removes their folders."""
         self.over = True
         for process in self.processes:
             process.signal(signal.SIGCONT)
@@ -382,7 +435,7 @@
                 await process.process.wait()
         for host in self.stage.hosts:
             host.close()
-        shutil.rmtree(self._scratch, ignore_errors=True)
+        shutil.rmtree(self._temporary_folder, ignore_errors=True)
 
 
 def play(
@@ -393,10 +446,12 @@
     keep_log: bool = False,
     progress=None,
 ) -> Result:
-    async def day() -> Result:
+    """Runs a scenario on loopback sockets. root: the folder that holds the deploy file."""
+
+    async def run_scenario() -> Result:
         return await SocketDay(scenario, seed, port, root or Path.cwd(), keep_log).play(progress)
 
     if sys.platform != "linux":
         raise SocketError("127.0.0.0/8 as a whole is loopback only on Linux")
     with asyncio.Runner() as runner:
-        return runner.run(day())
+        return runner.run(run_scenario())
--- a/tests/test_fleet_virtual.py
+++ b/tests/test_fleet_virtual.py
@@ -1,4 +1,4 @@
-"""The audit in virtual time: some drawn days, and troubles that real processes cannot play."""
+"""Tests of the fleet's audit in virtual time: random faults, and faults that real processes cannot show."""
 
 import pytest
 
@@ -8,17 +8,17 @@
 
 
 @pytest.mark.parametrize("kinds, hot", [(KINDS, None), (("keeper cut", "rot"), True), (("disk full",), None)])
-def test_drawn_days_name_every_call_or_say_unknown(kinds, hot):
+def test_audit_reports_every_call_or_an_unknown_period_under_random_faults(kinds, hot):
     for seed in range(6):
         day = play(seed, 12, kinds, hot)
         assert not day.breaches and day.figures["calls seen"] > 50
 
 
-def test_a_day_is_the_same_each_time():
+def test_run_with_same_seed_is_reproducible():
     assert play(3, 8) == play(3, 8)
 
 
-def test_a_wall_clock_that_steps_an_hour_is_a_finding_and_moves_no_answer():
+def test_step_of_wall_clock_is_a_finding_and_shifts_no_call_time():
     rig = VirtualRig(1, senders=3)
     rig.start()
     rig.run(1.0)
@@ -38,14 +38,14 @@
         assert 0.0 <= WALL_MS + at - call.at_ms < 20.0
 
 
-def test_three_hundred_senders_are_asked_in_their_turns_and_not_together():
+def test_keeper_spreads_its_requests_to_300_senders_over_time():
     rig = VirtualRig(2, senders=300, endpoints=2)
-    came = []
+    arrivals = []
     for name in rig.senders:
-        rig.link("k1", f"{name}:ops").tap = lambda data: came.append(rig.clock.now_ms())
+        rig.link("k1", f"{name}:ops").tap = lambda data: arrivals.append(rig.clock.now_ms())
     rig.start()
     rig.run(3.0)
-    steady = [at for at in came if at > 1000.0]
+    steady = [at for at in arrivals if at > 1000.0]
     most = max(sum(begin <= at < begin + 50.0 for at in steady) for begin in range(1000, 2950, 5))
-    assert len(steady) >= 2 * 4 * 300 * 0.9 and most <= 75, "a quarter of a second for 300: sixty in 50 ms"
+    assert len(steady) >= 2 * 4 * 300 * 0.9 and most <= 75, "300 requests in 250 ms are 60 in 50 ms"
     assert len(rig["k1"].reader().status()) == 300
