--- a/birchstack/cli.py
+++ b/birchstack/cli.py
@@ -91,7 +91,7 @@
                 result = sockets.play(loaded, seed, port, None, log is not None, progress)
             except sockets.SocketError as problem:
                 raise click.ClickException(str(problem)) from problem
-    result.repeat = f"birchstack emulate {scenario} --seed {seed}" + (
+    result.repeat_command = f"birchstack emulate {scenario} --seed {seed}" + (
         "" if virtual else f" --sockets --port {port}"
     )
     if log is not None:
--- a/birchstack/emulator/explore.py
+++ b/birchstack/emulator/explore.py
@@ -128,7 +128,7 @@
     if result.breaches:
         smallest = shrink(scenario, seed, result.breaches[0].rule) if shrinks else scenario
         repeated = play(smallest, seed)
-        repeated.repeat = f"birchstack emulate FOLDER/seed-{seed}.toml --seed {seed}"
+        repeated.repeat_command = f"birchstack emulate FOLDER/seed-{seed}.toml --seed {seed}"
         outcome.scenario = smallest
         outcome.text = repeated.text_of_breaches()
     return outcome
--- a/birchstack/emulator/judge.py
+++ b/birchstack/emulator/judge.py
@@ -4,8 +4,8 @@
 or of the model. It holds the events of each document and all violations. Times are milliseconds since the
 start of the run.
 
-docs/design.md lists the rules; each check says what violates it. The constants below are the tolerances for
-bytes in transit.
+docs/design.md lists the rules; each check says what violates it. The constants below include
+tolerances for bytes in transit.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 WIRE_TOLERANCE_MS = 50.0  # tolerance on every time limit, for bytes in transit
 LATE_END_MS = 300.0  # the result of a document may come this long after its expiry
 RESTART_GRACE_MS = 1500.0  # overdue results are due this long after a restarted sender is ready
-IN_TRANSIT_MS = 100.0  # calls may arrive this long after a wait was requested: they were in transit
+IN_TRANSIT_MS = 100.0  # calls may arrive this long after a requested wait or a delivery
 SHUTDOWN_MS = 3700.0  # a sender exits within this after SIGTERM
 BAD_CLIENT_MS = 3000.0  # a malformed client gets an error or a closed connection within this
 REPEAT_SHARE = 0.4  # allowed repeats per first transmission
-REPEAT_SPARE = 15.0  # additional repeats allowed per process, for its initial retry budget
+REPEAT_SPARE = 15.0  # further repeats allowed to each process, at its start
 PROVES_NOT_RUN = (429, 503, 504, 410)  # statuses that prove that the call had no effect
 
 
--- a/birchstack/emulator/result.py
+++ b/birchstack/emulator/result.py
@@ -41,9 +41,9 @@
     memory_mb: float
     median_ms: float
     p99_ms: float
-    stories: dict[str, list[str]] = field(default_factory=dict)
+    document_events: dict[str, list[str]] = field(default_factory=dict)
     log: list[str] | None = None
-    repeat: str = ""  # the command that reproduces the run
+    repeat_command: str = ""  # the command that reproduces the run
 
     @classmethod
     def of(
@@ -59,7 +59,9 @@
     ) -> Result:
         """Returns the result of a finished run."""
         delivery_ms = judge.delivery_ms
-        stories = {breach.doc: judge.docs[breach.doc].lines for breach in judge.breaches[:50] if breach.doc}
+        document_events = {
+            breach.doc: judge.docs[breach.doc].lines for breach in judge.breaches[:50] if breach.doc
+        }
         return cls(
             scenario.name,
             seed,
@@ -72,7 +74,7 @@
             memory_mb,
             percentile(delivery_ms, 0.5),
             percentile(delivery_ms, 0.99),
-            stories,
+            document_events,
             judge.log,
         )
 
@@ -110,9 +112,9 @@
                 f"rule {breach.rule} at {breach.at:.1f} ms, document {breach.doc or '-'}: {breach.text}"
             )
             if index < MAX_EVENT_LISTS and breach.doc:
-                lines += [f"    {line}" for line in self.stories.get(breach.doc, [])]
+                lines += [f"    {line}" for line in self.document_events.get(breach.doc, [])]
         if lines:
-            lines += [f"scenario {self.name}, seed {self.seed}; again by: {self.repeat}"]
+            lines += [f"scenario {self.name}, seed {self.seed}; again by: {self.repeat_command}"]
         return "\n".join(lines)
 
     def show(self, console) -> None:
--- a/birchstack/emulator/rig/drawn.py
+++ b/birchstack/emulator/rig/drawn.py
@@ -69,12 +69,12 @@
         self.held: dict[str, list[tuple[float, str]]] = defaultdict(list)  # time since when, digest
         self._contents: dict[str, ListContents] = {}
         self._unread: dict[str, list[dict]] = defaultdict(list)
-        rig.on_known = self._on_known
+        rig.on_sender_start = self._on_sender_start
         for name in rig.senders:
             rig.link(name, "list").tap = lambda data, name=name: self._on_bytes(name, data)
-            rig[name].on_go = lambda name=name: self._on_resume(name)
+            rig[name].on_resume = lambda name=name: self._on_resume(name)
 
-    def _on_known(self, name: str, known: dict) -> None:
+    def _on_sender_start(self, name: str, known: dict) -> None:
         """A sender starts with a saved list."""
         self._unread.pop(name, None)
         self._contents[name] = contents = ListContents()
--- a/birchstack/emulator/rig/links.py
+++ b/birchstack/emulator/rig/links.py
@@ -17,8 +17,11 @@
 from typing import Protocol
 
 Address = tuple[str, int]
-THERE, BACK, BOTH = "there", "back", "both"
-END_OF_STREAM, RESET = object(), object()  # markers in a stream: the connection was closed, or reset
+THERE = "there"  # from the caller to the target
+BACK = "back"
+BOTH = "both"
+END_OF_STREAM = object()  # marks the close of the connection in a stream
+RESET = object()  # marks a reset
 
 
 class Stage(Protocol):
@@ -52,8 +55,10 @@
 class Stream:
     """One direction of one connection."""
 
-    def __init__(self, link: Link, direction: Direction, arrive: Callable[[object], None]) -> None:
-        self._link, self.direction, self._arrive = link, direction, arrive
+    def __init__(self, link: Link, direction: Direction, deliver: Callable[[object], None]) -> None:
+        self._link = link
+        self.direction = direction
+        self._deliver = deliver
         self._queue: deque[tuple[float, object]] = deque()
         self._due_at = 0.0
         self._timer_set = False
@@ -77,7 +82,7 @@
         """Delivers what is due, unless the direction is held."""
         now = self._link.stage.now_ms()
         while self._queue and not self.direction.held and self._queue[0][0] <= now + 0.001:
-            self._arrive(self._queue.popleft()[1])
+            self._deliver(self._queue.popleft()[1])
         if self._queue and not self.direction.held and not self._timer_set:
             self._timer_set = True
             self._link.stage.after(self._queue[0][0] - now, self._on_timer)
--- a/birchstack/emulator/rig/parties.py
+++ b/birchstack/emulator/rig/parties.py
@@ -99,7 +99,9 @@
         epoch: the epoch that begins, if any.
         """
         entries, log = self.saved[number]
-        self.entries, self._log, self.number = dict(entries), [*log], number
+        self.entries = dict(entries)
+        self._log = [*log]
+        self.number = number
         if epoch is not None:
             self.epoch = epoch
         self.published.append((self._stage.now_ms(), self.epoch, number))
@@ -216,7 +218,7 @@
     warm_up_ms: float
     share: float = 0.3
     span_ms: float = 2000.0
-    fallen_ms: float | None = None
+    fallen_ms: float | None = None  # when it failed under overload
     peak_load: float = 0.0  # calls of the busiest span, as a share of the capacity
     arrivals: deque[float] = field(default_factory=deque)
 
--- a/birchstack/emulator/rig/virtual.py
+++ b/birchstack/emulator/rig/virtual.py
@@ -85,7 +85,7 @@
         self.on_term: Callable[[], None] | None = None
         self.faults: list[str] = []
         self.lives: list[tuple[str, float]] = []  # event and time
-        self.on_go: Callable[[], None] = lambda: None
+        self.on_resume: Callable[[], None] = lambda: None
         self.lost_disk = False  # its disk was full, corrupt or lost at some time
 
     @property
@@ -117,7 +117,7 @@
         exception = context.get("exception")
         self.faults.append(f"{context.get('message')}: {type(exception).__name__}: {exception}")
 
-    def over(self, how: str) -> None:
+    def finish(self, how: str) -> None:
         """Ends the process, if it is running."""
         if self.runs:
             self._note(how)
@@ -127,11 +127,11 @@
 
     def kill(self) -> None:
         """Ends the process as SIGKILL does."""
-        self.over("killed")
+        self.finish("killed")
 
     def kill_at_write(self, write: int, how: str) -> None:
         """Kills the process at the write with that number from now; how: before, torn or after."""
-        self.disk.died = lambda: self.over("killed")
+        self.disk.died = lambda: self.finish("killed")
         self.disk.strike = (self.disk.writes + write, how)
 
     def term(self) -> None:
@@ -145,7 +145,7 @@
             self._note("stopped" if still else "let go")
             self.loop.stand(still)
             if not still:
-                self.on_go()
+                self.on_resume()
 
 
 class SenderProcess(Process):
@@ -167,13 +167,13 @@
             len(rig.senders),
         )
         raw["settings"]["rules"] = {**raw["settings"]["rules"], **rig.rules}
-        rig.on_known(name, raw["known"])
+        rig.on_sender_start(name, raw["known"])
         fleet_file = rig.fleet_file
         config = fleet_settings.reserve_trail_space(fleet_file, decode(raw, {}))
         self.node = node = Node(
             config, self.loop, FleetMachine(rig, self), audit_log.audit_log_factory(fleet_file)
         )
-        node.ended.add_done_callback(lambda future: self.over("ended"))
+        node.ended.add_done_callback(lambda future: self.finish("ended"))
         self.loop.create_task(node.start()).add_done_callback(self._started)
 
     def _started(self, task: asyncio.Task) -> None:
@@ -206,9 +206,9 @@
         )
         collector.start()
 
-    def over(self, how: str) -> None:
+    def finish(self, how: str) -> None:
         """Ends the process and rolls its store back."""
-        super().over(how)
+        super().finish(how)
         self.store.rollback()  # as a crash loses what was not committed
 
     def reader(self) -> StoreReader:
@@ -251,7 +251,7 @@
         self.clients = Clients(self.stage, self.place)
         self.senders = [f"n{index + 1}" for index in range(senders)]
         self.keepers = [f"k{index + 1}" for index in range(keepers)]
-        self.on_known: Callable[[str, dict], None] = lambda name, known: None
+        self.on_sender_start: Callable[[str, dict], None] = lambda name, known: None
         self.processes: dict[str, Process] = {
             **{name: SenderProcess(self, name) for name in self.senders},
             **{name: KeeperProcess(self, name) for name in self.keepers},
--- a/birchstack/emulator/sockets.py
+++ b/birchstack/emulator/sockets.py
@@ -84,7 +84,7 @@
             self.refusing = False
             self.listen()
 
-    def light(self) -> None:
+    def restore_traffic(self) -> None:
         """Ends the dropping of traffic; connections are reset."""
         self.dark = False
         for connection in [*self.connections]:
@@ -246,7 +246,7 @@
         if dark:
             host.dark = True
         else:
-            host.light()
+            host.restore_traffic()
 
 
 class Process:
--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -155,7 +155,8 @@
 
     def _end(self, how: str) -> None:
         """Ends the process and schedules the restart; its disk stays."""
-        day, loop = self._day, self.loop
+        day = self._day
+        loop = self.loop
         if loop is None or loop.dead:
             return
         loop.end()
