--- a/birchstack/emulator/explore.py
+++ b/birchstack/emulator/explore.py
@@ -104,7 +104,7 @@
     import signal
 
     def raise_timeout(*arguments: object) -> None:
-        raise TimeoutError(f"a run takes more than {RUN_TIMEOUT_S} s: virtual time does not advance")
+        raise TimeoutError(f"a day takes more than {RUN_TIMEOUT_S} s: time stands still")
 
     scenario = draw(seed, base, max_faults, kinds)
     drawn_kinds = tuple(each.kind for each in scenario.troubles)
