--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -258,8 +258,8 @@
         loop = asyncio._get_running_loop()
         number = int(loop.name) if isinstance(loop, ProcessLoop) else -1
         if text in FAULTS:
-            exception = record.exc_info[1] if record.exc_info else getattr(record, "fields", {}).get("what")
-            self._day.judge.fault(self._day.clock.now_ms(), number, f"{text}: {exception!r}")
+            problem = record.exc_info[1] if record.exc_info else getattr(record, "fields", {}).get("what")
+            self._day.judge.fault(self._day.clock.now_ms(), number, f"{text}: {problem!r}")
         else:
             self._day.judge.note(
                 self._day.clock.now_ms(),
