--- a/birchstack/emulator/peers.py
+++ b/birchstack/emulator/peers.py
@@ -518,7 +518,7 @@
         self.connection_lost(peer, submission, "refused")
 
     def _timed_out(self, submission: Submission) -> None:
-        if submission.story.heard_at is None and submission.story.gave_up_at is None:
+        if submission.story.answered_at is None and submission.story.gave_up_at is None:
             self.world.judge.unanswered(self.world.stage.now_ms(), submission.story, "patience")
             self.world.resubmit(submission, 0.0, self._sender, other_sender=True)
 
--- a/birchstack/emulator/world.py
+++ b/birchstack/emulator/world.py
@@ -238,7 +238,7 @@
         return max(each.expiry_ms for each in self.scenario.types) + 4000.0
 
     def _check_periodically(self) -> None:
-        self.judge.look(self.stage.now_ms())
+        self.judge.check_overdue(self.stage.now_ms())
         self.stage.after(1000.0, self._check_periodically)
 
     # Clients
@@ -339,7 +339,7 @@
         def timed_out() -> None:
             if not results:
                 results.append(None)
-                if not self.judge.excused(sender, started_at, self.stage.now_ms()):
+                if not self.judge.was_unavailable(sender, started_at, self.stage.now_ms()):
                     self.judge.bad_client(self.stage.now_ms(), name, started_at, None)
             peer.abort()
 
@@ -404,7 +404,7 @@
         verdict = dest.arrive(now, endpoint, sender, setup_ms)
         if len(dest.overloads) > overloads:
             overload = dest.overloads[-1]
-            self.judge.pushed(now, dest.number, overload.calls_of_observers, overload.calls)
+            self.judge.cold_overload(now, dest.number, overload.calls_of_observers, overload.calls)
             self.stage.after(
                 dest.overloaded_until - now + 1.0, lambda: dest.end_overload(self.stage.now_ms())
             )
@@ -530,7 +530,7 @@
                 doc.type,
                 doc.destination,
                 doc.key,
-                self.judge.wanted[doc.logical][1] + doc.type.expiry_ms,
+                self.judge.created[doc.logical][1] + doc.type.expiry_ms,
                 self._rng.randbytes(doc.size),
                 int(doc.id.rsplit("-", 1)[1]),
             )
@@ -661,7 +661,7 @@
             elif kind in WRITE_KILLS:
                 self.senders.kill_at_write(number, int(size_of(trouble)), WRITE_KILLS[kind], RESTART_DELAY_MS)
             elif kind == "stand_still":
-                self.judge.stands_still(self.stage.now_ms(), number)
+                self.judge.paused(self.stage.now_ms(), number)
                 self.senders.set_paused(number, True)
                 self.stage.after(min(duration_ms, 3000.0), self._resume_sender, number)
             elif kind == "disk_full":
@@ -670,4 +670,4 @@
 
     def _resume_sender(self, number: int) -> None:
         self.senders.set_paused(number, False)
-        self.judge.goes_on(self.stage.now_ms() + 100.0, number)
+        self.judge.resumed(self.stage.now_ms() + 100.0, number)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -95,7 +95,7 @@
     calls = [call for doc in played.judge.docs.values() for call in doc.calls if call.destination == 0]
     # After the crash the endpoints accept connections again, but still do not answer
     assert any(5500.0 < call.at < 8000.0 for call in calls)
-    assert not any(call.status == 200 and 3300.0 < call.over_at < 8000.0 for call in calls)
+    assert not any(call.status == 200 and 3300.0 < call.ended_at < 8000.0 for call in calls)
     assert not dest.active_troubles and not played.judge.breaches
 
 
@@ -142,7 +142,7 @@
         call.sender
         for doc in played.judge.docs.values()
         for call in doc.calls
-        if call.destination == 0 and call.status == 200 and 9200.0 < call.over_at < 14000.0
+        if call.destination == 0 and call.status == 200 and 9200.0 < call.ended_at < 14000.0
     ]
     assert set(delivering) == {0, 1}
 
