--- a/birchstack/backlog/__init__.py
+++ b/birchstack/backlog/__init__.py
@@ -1,13 +1,17 @@
-"""The backlog: documents beyond a destination's window lie on disk only. See docs/notes/backlog.md.
+"""The backlog: documents beyond a destination's window wait on disk only. See docs/notes/backlog.md.
 
-This file uses the standard library alone, so that a sender without a backlog can ask whether one was left."""
+This file imports only the standard library, so that a sender without a backlog can check whether an earlier
+one left documents.
+"""
 
 from collections.abc import Iterable
 
-PREFIX = "backlog-"
+PREFIX = "backlog-"  # of the names of all backlog files
 
 
 def left(names: Iterable[str]) -> bool:
-    """Whether these names of a folder show documents of a backlog: segments are named
-    backlog-<destination>-<number>; indexes and the manifest hold none."""
+    """Returns whether any of these file names is that of a segment.
+
+    Segments are named backlog-<destination>-<number>; only they contain documents.
+    """
     return any(name.startswith(PREFIX) and name[len(PREFIX) :].replace("-", "").isdecimal() for name in names)
--- a/birchstack/backlog/index.py
+++ b/birchstack/backlog/index.py
@@ -1,7 +1,7 @@
-"""Where a document of the backlog lies, by its id, and which expires next: a bounded tail, and runs on disk.
+"""Index of the backlog by id and by expiry: a bounded memtable, and sorted runs on disk.
 
-Owns the entries. Must never know whether a document is owed (the store says which entries count) or write the
-manifest: it hands over what is to be recorded, and removes no run before that is.
+Owns the entries. Must never know whether a document still waits (the store says which entries are needed) or
+write the manifest: it passes on what is to be recorded, and drops no run before that is done.
 """
 
 from __future__ import annotations
@@ -12,20 +12,27 @@
 from rbloom import Bloom
 
 from birchstack.backlog.plan import (
-    ENTRY,
-    ID,
+    ID_ENTRY,
     IDS,
+    TIME_ENTRY,
     TIMES,
     Run,
     Sizes,
-    merged,
+    select_merge,
+)
+from birchstack.backlog.runs import (
+    CorruptionError,
+    Cursor,
+    load_filter,
+    lookup,
+    merge_entries,
+    write_run,
 )
-from birchstack.backlog.runs import Cursor, Rot, load, look, merge, write
 from birchstack.net.machine import Folder
 
 
-class Tail:
-    """Entries that are in no run yet. Bounded by the store, which has them flushed."""
+class Memtable:
+    """Entries that are in no run yet. The store bounds it by flushing."""
 
     __slots__ = ("ids", "times", "_all")
 
@@ -38,172 +45,194 @@
         return len(self._all)
 
     def add(self, key: bytes, entry: bytes) -> None:
-        _, destination, where = ENTRY.unpack(entry)
-        self.ids.setdefault(key, []).append(ID.pack(key, destination, where))
+        """Adds a document by the hash of its id and its time entry."""
+        _, destination, position = TIME_ENTRY.unpack(entry)
+        self.ids.setdefault(key, []).append(ID_ENTRY.pack(key, destination, position))
         heapq.heappush(self.times, entry)
         self._all.append(entry)
 
     def sorted(self, kind: str) -> list[bytes]:
+        """Returns the entries of one kind in order."""
         if kind == TIMES:
             return sorted(self._all)
         return sorted(entry for entries in self.ids.values() for entry in entries)
 
 
-Record = Callable[[list[Run], list[Run]], None]  # runs added and removed are recorded, or OSError
+Record = Callable[[list[Run], list[Run]], None]  # records added and removed runs, or raises OSError
 
 
 class Index:
+    """The memtable, the frozen memtable that is being flushed, and the runs."""
+
     def __init__(
         self,
         folder: Folder,
-        number: Callable[[], int],
-        counts: dict[str, Callable[[bytes], bool]],
-        rotten: Callable[[Rot], None],
+        next_number: Callable[[], int],
+        entry_needed: dict[str, Callable[[bytes], bool]],
+        on_corruption: Callable[[CorruptionError], None],
         sizes: Sizes,
     ) -> None:
-        """number: a new file's; counts: by kind, whether an entry still does."""
-        self._folder, self._number, self._counts, self._rotten = folder, number, counts, rotten
+        """next_number: of a new file. entry_needed: by kind, whether an entry is still needed."""
+        self._folder = folder
+        self._next_number = next_number
+        self._entry_needed = entry_needed
+        self._on_corruption = on_corruption
         self._sizes = sizes
-        self.tail, self.frozen = Tail(), None
+        self.memtable = Memtable()
+        self.frozen = None
         self.runs: dict[int, Run] = {}
         self._filters: dict[int, Bloom] = {}
         self._cursors: list[Cursor] = []  # a heap
-        self._full: set[int] = set()  # see plan.merged
-        self.making: dict[str, list[str]] = {}  # by job, files that are of no use if it does not end
-
-    # At the start
+        self._dense: set[int] = set()  # see plan.select_merge
+        self.unfinished_files: dict[str, list[str]] = {}  # by job: files to remove if it does not complete
 
-    def found(self, run: Run, mark: bytes) -> None:
-        """A run of the manifest; raises Rot or OSError where it cannot be used."""
+    def restore(self, run: Run, watermark: bytes) -> None:
+        """Adds a run of the manifest; raises CorruptionError or OSError where it cannot be used."""
         if run.kind == IDS:
-            self._filters[run.number] = load(self._folder, run)
+            self._filters[run.number] = load_filter(self._folder, run)
         else:
-            self._cursor(run, mark)
+            self._add_cursor(run, watermark)
         self.runs[run.number] = run
 
     # By id
 
     def find(self, key: bytes) -> Iterator[tuple[int, int]]:
-        """Destination and place of each document whose id has this hash; some may be past."""
-        for tail in (self.tail, self.frozen):
-            if tail is not None and key in tail.ids:
-                yield from (ID.unpack(entry)[1:] for entry in tail.ids[key])
+        """Yields destination and position of each document whose id has this hash; some may have ended."""
+        for memtable in (self.memtable, self.frozen):
+            if memtable is not None and key in memtable.ids:
+                yield from (ID_ENTRY.unpack(entry)[1:] for entry in memtable.ids[key])
         number = int.from_bytes(key, "big")
         for each, bloom in list(self._filters.items()):
             if number in bloom:
                 try:
-                    yield from (ID.unpack(entry)[1:] for entry in look(self._folder, self.runs[each], key))
-                except Rot as problem:
-                    self._rotten(problem)
+                    yield from (
+                        ID_ENTRY.unpack(entry)[1:] for entry in lookup(self._folder, self.runs[each], key)
+                    )
+                except CorruptionError as problem:
+                    self._on_corruption(problem)
 
     # By time
 
-    def _heap(self) -> list[bytes] | None:
-        """The tail's heap that has the earlier entry."""
-        heaps = [each.times for each in (self.tail, self.frozen) if each is not None and each.times]
+    def _first_heap(self) -> list[bytes] | None:
+        """Returns the heap, of the two memtables', that has the earlier entry."""
+        heaps = [each.times for each in (self.memtable, self.frozen) if each is not None and each.times]
         return min(heaps, key=lambda heap: heap[0], default=None)
 
     def top(self) -> bytes | None:
-        """The entry that expires first; it may be past."""
-        heap = self._heap()
-        if self._cursors and (heap is None or self._cursors[0].top < heap[0]):
-            return self._cursors[0].top
+        """Returns the entry with the earliest expiry; its document may have ended."""
+        heap = self._first_heap()
+        if self._cursors and (heap is None or self._cursors[0].entry < heap[0]):
+            return self._cursors[0].entry
         return heap[0] if heap else None
 
     def pop(self) -> None:
-        heap = self._heap()
-        if self._cursors and (heap is None or self._cursors[0].top < heap[0]):
+        """Passes over the entry that top() returns."""
+        heap = self._first_heap()
+        if self._cursors and (heap is None or self._cursors[0].entry < heap[0]):
             self._cursors[0].next()
-            if self._cursors[0].top is None:
+            if self._cursors[0].entry is None:
                 heapq.heappop(self._cursors)
             else:
                 heapq.heapreplace(self._cursors, self._cursors[0])
         elif heap:
             heapq.heappop(heap)
 
-    def _cursor(self, run: Run, mark: bytes) -> None:
-        cursor = Cursor(self._folder, run, mark, self._rotten)
-        if cursor.top is not None:
+    def _add_cursor(self, run: Run, watermark: bytes) -> None:
+        cursor = Cursor(self._folder, run, watermark, self._on_corruption)
+        if cursor.entry is not None:
             heapq.heappush(self._cursors, cursor)
 
-    # Runs are made and merged, a piece at a step
+    # Writing and merging runs, a bounded piece at each step
 
-    def flush(self, mark: Callable[[], bytes], record: Record) -> Generator[None, None, None]:
-        """The frozen tail becomes two runs."""
+    def flush(self, watermark: Callable[[], bytes], record: Record) -> Generator[None, None, None]:
+        """Writes the frozen memtable to two runs."""
         runs = []
-        self.making["flush"] = []
+        self.unfinished_files["flush"] = []
         for kind in (IDS, TIMES):
             entries = self.frozen.sorted(kind)
             yield
             runs.append((yield from self._write("flush", kind, len(entries), entries)))
             yield
-        self._install(runs, [], mark, record)
+        self._install(runs, [], watermark, record)
         self.frozen = None
-        del self.making["flush"]
+        del self.unfinished_files["flush"]
 
     def _write(
         self, job: str, kind: str, expected: int, entries: Iterable[bytes | None]
     ) -> Generator[None, None, tuple[Run, Bloom | None]]:
-        number = self._number()
-        self.making[job].append(Run(kind, number, 0, 0, 0).name)
-        return write(self._folder, kind, number, expected, entries)
+        number = self._next_number()
+        self.unfinished_files[job].append(Run(kind, number, 0, 0, 0).name)
+        return write_run(self._folder, kind, number, expected, entries)
 
-    def merging(self, needed: dict[str, int]) -> list[Run]:
-        """needed: by kind, how many entries at most still count."""
+    def runs_to_merge(self, needed: dict[str, int]) -> list[Run]:
+        """Returns runs worth merging; needed: by kind, the number of entries still needed, at most."""
         for kind, most in needed.items():
-            mine = (run for run in self.runs.values() if run.kind == kind)
-            runs = merged(mine, most, self._sizes, self._full)
+            of_kind = (run for run in self.runs.values() if run.kind == kind)
+            runs = select_merge(of_kind, most, self._sizes, self._dense)
             if runs:
                 return runs
         return []
 
     def merge(
-        self, old: list[Run], mark: Callable[[], bytes], record: Record
+        self, old: list[Run], watermark: Callable[[], bytes], record: Record
     ) -> Generator[None, None, list[Run]]:
-        """These runs become one, of the entries that still count; returns those whose files may go. Raises
-        Rot, and then all stays as it is."""
+        """Merges runs into one of the entries still needed; returns the runs whose files can be removed.
+
+        Raises CorruptionError, and then nothing has changed.
+        """
         kind = old[0].kind
-        entries = merge(self._folder, old, self._counts[kind])
+        entries = merge_entries(self._folder, old, self._entry_needed[kind])
         expected = sum(run.count for run in old)
-        self.making["merge"] = []
+        self.unfinished_files["merge"] = []
         run, bloom = yield from self._write("merge", kind, expected, entries)
         yield
-        self._full &= self.runs.keys()
-        if run.count > 0.9 * expected:
-            self._full.add(run.number)
-        self._install([(run, bloom)] if run.count else [], old, mark, record)
-        del self.making["merge"]
+        self._dense &= self.runs.keys()
+        if run.count > 0.9 * expected:  # the merge removed little
+            self._dense.add(run.number)
+        self._install([(run, bloom)] if run.count else [], old, watermark, record)
+        del self.unfinished_files["merge"]
         return old if run.count else [run, *old]
 
     def drop(self, old: list[Run], record: Callable[[], object]) -> None:
-        """These runs are needed no more."""
+        """Drops runs that are no longer needed."""
         self._install([], old, bytes, lambda *_: record())
 
     def _install(
-        self, new: list[tuple[Run, Bloom | None]], old: list[Run], mark: Callable[[], bytes], record: Record
+        self,
+        new: list[tuple[Run, Bloom | None]],
+        old: list[Run],
+        watermark: Callable[[], bytes],
+        record: Record,
     ) -> None:
+        """Replaces old runs by new ones, once that is recorded."""
         record([run for run, _ in new], old)
-        gone = {run.number for run in old}
-        for number in gone:
+        removed = {run.number for run in old}
+        for number in removed:
             self.runs.pop(number, None)
             self._filters.pop(number, None)
-        self._cursors = [each for each in self._cursors if each.run.number not in gone]
+        self._cursors = [each for each in self._cursors if each.run.number not in removed]
         heapq.heapify(self._cursors)
         for run, bloom in new:
             self.runs[run.number] = run
             if bloom is not None:
                 self._filters[run.number] = bloom
             else:
-                self._cursor(run, mark())
+                self._add_cursor(run, watermark())
 
     def clear(self) -> list[Run]:
-        """Nothing is owed any more; returns the runs, whose files may go once that is recorded."""
+        """Drops all entries; returns the runs, whose files can be removed once that is recorded."""
         runs = list(self.runs.values())
-        self.tail, self.frozen, self.runs, self._filters, self._cursors = Tail(), None, {}, {}, []
+        self.memtable = Memtable()
+        self.frozen = None
+        self.runs = {}
+        self._filters = {}
+        self._cursors = []
         return runs
 
     def freeze(self) -> None:
-        self.frozen, self.tail = self.tail, Tail()
+        """Starts a new memtable; the present one is kept for flush()."""
+        self.frozen, self.memtable = self.memtable, Memtable()
 
     def wants_flush(self) -> bool:
-        return len(self.tail) >= self._sizes.flushed
+        """Returns whether the memtable is full."""
+        return len(self.memtable) >= self._sizes.flushed
--- a/birchstack/backlog/maker.py
+++ b/birchstack/backlog/maker.py
@@ -1,21 +1,20 @@
-"""Puts the backlog on disk behind the sender's Store (birchstack.net.overflow).
-
-Owns nothing but the joint.
-"""
+"""Connects the backlog on disk to the sender, as the Store of birchstack.net.overflow."""
 
 from __future__ import annotations
 
 from birchstack.backlog.settings import Settings
-from birchstack.backlog.store import HANDLES, Backlog
+from birchstack.backlog.store import MAX_OPEN_SEGMENTS, Backlog
 from birchstack.ledger.records import Kept
 from birchstack.net.machine import Folder
 from birchstack.net.overflow import Made, Make
 
-DESCRIPTORS = HANDLES + 8  # segments, the manifest and a new one, runs that are written and read
+DESCRIPTORS = MAX_OPEN_SEGMENTS + 8  # segments, the manifest and a new one, runs being written and read
+
 
+def maker(settings: Settings) -> Make:
+    """Returns a function that opens the backlog of a folder."""
 
-def maker(told: Settings) -> Make:
     def make(folder: Folder, now: float) -> Made:
-        return Made(Backlog(folder, told, now), told.window, Kept)
+        return Made(Backlog(folder, settings, now), settings.window, Kept)
 
     return make
--- a/birchstack/backlog/model.py
+++ b/birchstack/backlog/model.py
@@ -1,6 +1,6 @@
-"""The backlog as a plain model in memory: the interface, and what the one on disk is tested against.
+"""The backlog as a simple model in memory: its interface, and the reference for tests of the one on disk.
 
-Owns nothing that lasts. Must never grow a feature that the one on disk has not.
+Stores nothing on disk. Must never have a feature that the backlog on disk lacks.
 """
 
 from __future__ import annotations
@@ -15,63 +15,74 @@
 
 
 class Backlog:
-    """Times are on the lasting clock, in milliseconds."""
+    """The backlog in memory. Times are on the clock that survives restarts, in milliseconds."""
 
     def __init__(self, folder: object = None, settings: Settings | None = None, now: float = 0.0) -> None:
-        self._room = settings.bytes if settings else 1 << 40
-        self._owed: dict[str, Kept] = {}  # in order of arrival
-        self._given: dict[int, list[str]] = {}
+        self._capacity_bytes = settings.bytes if settings else 1 << 40
+        self._documents: dict[str, Kept] = {}  # in order of arrival
+        self._last_reads: dict[int, list[str]] = {}
 
     def __len__(self) -> int:
-        return len(self._owed)
+        return len(self._documents)
 
-    def _of(self, destination: int) -> list[Kept]:
-        return [kept for kept in self._owed.values() if kept.destination == destination]
+    def _at_destination(self, destination: int) -> list[Kept]:
+        return [kept for kept in self._documents.values() if kept.destination == destination]
 
     def waiting(self, destination: int) -> tuple[int, float]:
-        there = self._of(destination)
-        return len(there), there[0].taken if there else 0.0
+        """Returns the number of documents that wait and when the first of them was taken."""
+        documents = self._at_destination(destination)
+        return len(documents), documents[0].taken if documents else 0.0
 
     def fits(self, sizes: list[int]) -> bool:
-        all_of_them = [*sizes, *(len(kept.body) for kept in self._owed.values())]
-        return sum(all_of_them) + 512 * len(all_of_them) <= self._room
+        """Returns whether documents with bodies of these sizes fit."""
+        all_sizes = [*sizes, *(len(kept.body) for kept in self._documents.values())]
+        return sum(all_sizes) + 512 * len(all_sizes) <= self._capacity_bytes
 
     def append(self, kept: Kept) -> None:
-        self._owed[kept.id] = kept
+        """Records a document as the last of its destination."""
+        self._documents[kept.id] = kept
 
     def holds(self, doc_id: str) -> bool:
-        return doc_id in self._owed
+        """Returns whether the document with this id waits here."""
+        return doc_id in self._documents
 
     def read(self, destination: int, most: int) -> list[Kept]:
-        found = self._of(destination)[:most]
-        self._given[destination] = [kept.id for kept in found]
+        """Returns the first documents that wait, at most so many, in order of arrival; they stay here."""
+        found = self._at_destination(destination)[:most]
+        self._last_reads[destination] = [kept.id for kept in found]
         return found
 
     def moved(self, destination: int, count: int) -> None:
-        """Those that ended since the read() count too."""
-        for doc_id in self._given[destination][:count]:
-            self._owed.pop(doc_id, None)
-        del self._given[destination][:count]
+        """Removes the first documents of the last read(); documents ended since then are counted too."""
+        for doc_id in self._last_reads[destination][:count]:
+            self._documents.pop(doc_id, None)
+        del self._last_reads[destination][:count]
 
     def due(self, now: float, most: int) -> list[Kept]:
-        found = [kept for kept in self._owed.values() if kept.expiry <= now]
+        """Returns documents that have expired, at most so many, by expiry."""
+        found = [kept for kept in self._documents.values() if kept.expiry <= now]
         return sorted(found, key=lambda kept: kept.expiry)[:most]
 
     def ended(self, ids: list[str]) -> None:
+        """Removes documents that ended; ids that are unknown here are ignored."""
         for doc_id in ids:
-            self._owed.pop(doc_id, None)
+            self._documents.pop(doc_id, None)
 
     def drop(self, ids: Iterable[str]) -> None:
+        """Removes the documents that the sender's ledger holds; called after a start."""
         self.ended([*ids])
 
     def next_due(self) -> float:
-        return min((kept.expiry for kept in self._owed.values()), default=inf)
+        """Returns the earliest expiry."""
+        return min((kept.expiry for kept in self._documents.values()), default=inf)
 
     def destinations(self) -> Iterable[int]:
-        return dict.fromkeys(kept.destination for kept in self._owed.values())
+        """Returns the destinations that have documents waiting."""
+        return dict.fromkeys(kept.destination for kept in self._documents.values())
 
     def step(self) -> bool:
+        """Does nothing: the model needs no housekeeping. Returns False."""
         return False
 
     def close(self) -> None:
-        pass
+        """Does nothing."""
--- a/birchstack/backlog/plan.py
+++ b/birchstack/backlog/plan.py
@@ -1,11 +1,12 @@
-"""The arithmetic of the backlog on disk: places, entries of sorted runs, pages, names, what is merged when.
+"""Arithmetic of the backlog on disk: positions, index entries, pages, file names, choice of runs to merge.
 
-Owns no state and touches no file. A place names a document's record: segment number in the upper half, offset
-in the lower. Numbers of files only grow and are never used again, so a place is never used again either, and
-places of one destination grow in order of arrival.
+Owns no state and touches no file. A position identifies a document's record: segment number in the upper 32
+bits, offset in the lower. File numbers only grow and are never used again, so neither is a position, and the
+positions of one destination grow in order of arrival.
 
-An entry of a run has 20 bytes that sort as what they mean: by id (hash, destination, place) or by time
-(expiry, destination, place). Runs are sorted, and merged eight of a size at a time, so there are few.
+An entry of a sorted run has 20 bytes that sort like the values in them: by id (hash, destination, position)
+or by time (expiry, destination, position). Eight runs of about one size are merged at a time, so there are
+few.
 """
 
 from __future__ import annotations
@@ -19,23 +20,31 @@
 from birchstack.backlog import PREFIX
 from birchstack.ledger.records import HEAD, Page, frame
 
-IDS, TIMES = "ids", "times"  # kinds of runs
-MANIFEST, BALLAST = PREFIX + "manifest", PREFIX + "ballast"
-BLOCK = 512
-OFFSET = (1 << 32) - 1
-ENTRY = struct.Struct(">dIQ")  # expiry, destination, place: sorts as its bytes, from 0 up
-ID = struct.Struct(">8sIQ")
-SIZE = ENTRY.size
-PER_PAGE = 128
-PAGE = len(frame(Page(bytes(PER_PAGE * SIZE))))  # all but the last page of a run have this length
-NEVER = ENTRY.pack(inf, (1 << 32) - 1, (1 << 64) - 1)
+# Kinds of runs
+IDS = "ids"
+TIMES = "times"
+
+MANIFEST = PREFIX + "manifest"
+BALLAST = PREFIX + "ballast"
+BLOCK_SIZE = 512  # bytes
+OFFSET_MASK = (1 << 32) - 1  # the offset in a position
+TIME_ENTRY = struct.Struct(">dIQ")  # expiry, destination, position; expiries from 0 up sort like their bytes
+ID_ENTRY = struct.Struct(">8sIQ")  # hash of the id, destination, position
+ENTRY_SIZE = TIME_ENTRY.size  # bytes
+ENTRIES_PER_PAGE = 128
+PAGE_SIZE = len(frame(Page(bytes(ENTRIES_PER_PAGE * ENTRY_SIZE))))  # bytes, of all but a run's last page
+MAX_ENTRY = TIME_ENTRY.pack(inf, (1 << 32) - 1, (1 << 64) - 1)
 
 
 class Sizes(NamedTuple):
-    """sealed: a segment ends before it grows beyond this; flushed: documents whose entries are held in
-    memory, until they make a run; unmarked: their bytes, at most, which a restart reads; fan: runs of one
-    size that are merged into one; passed: bytes, and popped: entries, that one call passes over; logged: the
-    manifest is written anew once its log is so long, and twice its snapshot."""
+    """Limits of the backlog's files and of the work of one call.
+
+    sealed: bytes beyond which a segment is not extended. flushed: documents whose entries are held in memory
+    before they are flushed to a run. unmarked: bytes of their records, at most, which a restart has to read.
+    fan: runs of one level that are merged into one. passed and popped: bytes of records and entries that one
+    call passes over. logged: bytes of the manifest's log, at least, before a new snapshot is written; it must
+    also be longer than twice the snapshot.
+    """
 
     sealed: int = 1 << 20
     flushed: int = 2048
@@ -47,81 +56,90 @@
 
 
 class Run(NamedTuple):
-    """A sorted run on disk: its kind and number, entries, and where its filter begins and the file ends."""
+    """A sorted run on disk. filter_offset: where its Bloom filter begins; size: of the file, in bytes."""
 
     kind: str
     number: int
     count: int
-    bits: int
+    filter_offset: int
     size: int
 
     @property
     def name(self) -> str:
+        """The name of the run's file."""
         return f"{PREFIX}{self.kind}-{self.number}"
 
     @property
     def pages(self) -> int:
-        return -(-self.count // PER_PAGE)
+        """The number of pages."""
+        return -(-self.count // ENTRIES_PER_PAGE)
 
 
-def place(number: int, offset: int) -> int:
+def pack_position(number: int, offset: int) -> int:
+    """Returns the position of an offset in a segment."""
     return number << 32 | offset
 
 
-def segment(destination: int, number: int) -> str:
-    """The name of a segment's file."""
+def segment_name(destination: int, number: int) -> str:
+    """Returns the name of a segment's file."""
     return f"{PREFIX}{destination}-{number}"
 
 
-def parse(name: str) -> tuple[str, int] | None:
-    """What a file of the backlog is (a destination's number, a kind of run, manifest) and its number."""
-    what, _, number = name.removeprefix(PREFIX).rpartition("-")
-    return (what, int(number)) if name.startswith(PREFIX) and what and number.isdecimal() else None
+def parse_name(name: str) -> tuple[str, int] | None:
+    """Returns the kind (a destination's number, a kind of run, manifest) and number of a backlog file."""
+    kind, _, number = name.removeprefix(PREFIX).rpartition("-")
+    return (kind, int(number)) if name.startswith(PREFIX) and kind and number.isdecimal() else None
 
 
-def hashed(doc_id: str) -> bytes:
+def hash_id(doc_id: str) -> bytes:
+    """Returns the hash by which a document is indexed."""
     return blake2b(doc_id.encode("utf-8", "surrogatepass"), digest_size=8).digest()
 
 
-def at_time(expiry: float, destination: int, where: int) -> bytes:
-    return ENTRY.pack(max(0.0, expiry), destination, where)
+def time_entry(expiry: float, destination: int, position: int) -> bytes:
+    """Returns the entry by time of a document."""
+    return TIME_ENTRY.pack(max(0.0, expiry), destination, position)
 
 
-def after(now: float) -> bytes:
-    """Before this are the entries with an expiry up to now."""
-    return ENTRY.pack(max(0.0, nextafter(now, inf)), 0, 0)
+def expiry_limit(now: float) -> bytes:
+    """Returns the entry below which all entries with an expiry up to now sort."""
+    return TIME_ENTRY.pack(max(0.0, nextafter(now, inf)), 0, 0)
 
 
-def page_at(index: int) -> int:
-    return HEAD.size + index * PAGE
+def page_offset(index: int) -> int:
+    """Returns where a page begins in a run's file."""
+    return HEAD.size + index * PAGE_SIZE
 
 
-def blocks(size: int) -> int:
-    return -(-size // BLOCK) * BLOCK
+def allocated_size(size: int) -> int:
+    """Returns a file's size rounded up to whole blocks."""
+    return -(-size // BLOCK_SIZE) * BLOCK_SIZE
 
 
 def level(count: int, sizes: Sizes) -> int:
-    """Runs of one level are of one size, about."""
-    at, size = 0, sizes.flushed * sizes.fan
+    """Returns the merge level of a run; runs of one level have about the same size."""
+    found, size = 0, sizes.flushed * sizes.fan
     while count >= size:
-        at, size = at + 1, size * sizes.fan
-    return at
+        found, size = found + 1, size * sizes.fan
+    return found
 
 
-def merged(runs: Iterable[Run], needed: int, sizes: Sizes, full: Container[int] = ()) -> list[Run]:
-    """The runs of one kind that are worth merging now; none where none are.
+def select_merge(runs: Iterable[Run], needed: int, sizes: Sizes, dense: Container[int] = ()) -> list[Run]:
+    """Returns the runs of one kind that are worth merging now, or an empty list.
 
-    All of them once no more than half of their entries can be needed; else some of one size. full: numbers of
-    runs that a merge left nearly as they were: none of them is merged again alone, lest it never ends."""
+    That is all of them once at most half of their entries can still be needed, else some of one level. dense
+    has the numbers of runs that a merge left nearly as they were: none of them is merged again alone, since
+    that would repeat without end.
+    """
     runs = list(runs)
     if sum(run.count for run in runs) > 2 * needed + 4 * sizes.flushed and not (
-        len(runs) == 1 and runs[0].number in full
+        len(runs) == 1 and runs[0].number in dense
     ):
         return runs
     by_level: dict[int, list[Run]] = {}
     for run in runs:
         by_level.setdefault(level(run.count, sizes), []).append(run)
-    for at in sorted(by_level):
-        if len(by_level[at]) >= sizes.fan:
-            return by_level[at][: sizes.fan]
+    for each in sorted(by_level):
+        if len(by_level[each]) >= sizes.fan:
+            return by_level[each][: sizes.fan]
     return []
--- a/birchstack/backlog/replay.py
+++ b/birchstack/backlog/replay.py
@@ -1,7 +1,7 @@
-"""What the records of the backlog's manifest come to: where each destination's begins, and what is past.
+"""Replay of the manifest's records: where each destination's waiting documents begin, and which have ended.
 
-Owns the fold of the records into a state. Must never touch a file: what segments hold beyond the last marks
-is the store's to read.
+Owns the step from the records to a state. Must never touch a file: the store reads what the segments hold
+after the last checkpoints.
 """
 
 from __future__ import annotations
@@ -9,109 +9,136 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from birchstack.backlog.plan import ENTRY, Run, at_time, place
+from birchstack.backlog.plan import TIME_ENTRY, Run, pack_position, time_entry
 from birchstack.ledger.records import Ended, Marks, Moved, Record, State, Whole
 
 
 @dataclass(slots=True)
-class There:
-    """One destination's log. Ordinals count the records written since it began."""
-
-    total: int = 0  # written
-    place: int = 0  # where what waits begins; records before it are past
-    ordinal: int = 0  # records before that
-    ahead: int = 0  # behind it, ended
-    marked: tuple[int, int] = (0, 0)  # up to this place and ordinal, documents are in runs
-    since: float | None = None  # when the first that waits was taken; None: not known, it is on disk
-    passed: float = 0.0  # not before this
-    open: bool = False  # its last segment can be written on
-    rotten: bool = False  # something is lost, so counts are not exact until it is empty
-    lost: int = 0  # found lost by time, and counted in ahead
+class DestinationState:
+    """The log of one destination. Ordinals count the records written since the log began."""
+
+    total: int = 0  # records written
+    position: int = (
+        0  # start of the waiting documents; the documents of records before it have ended or moved
+    )
+    ordinal: int = 0  # records before position
+    ended: int = 0  # records from position on whose documents have ended
+    checkpoint: tuple[int, int] = (0, 0)  # position and ordinal up to which documents are in runs
+    first_taken: float | None = None  # when the first waiting document was taken; None: known on disk only
+    first_taken_min: float = 0.0  # a lower bound of first_taken, for when that is not known
+    appendable: bool = False  # whether its last segment can be extended
+    has_losses: bool = False  # records were lost, so counts are not exact until the log is empty
+    lost: int = 0  # lost records that were met by expiry, and are counted in ended
     segments: dict[int, list[int]] = field(default_factory=dict)  # by number: records before it, bytes
 
     def waiting(self) -> int:
-        return max(0, self.total - self.ordinal - self.ahead)
+        """Returns the number of documents that wait."""
+        return max(0, self.total - self.ordinal - self.ended)
 
 
 class Replay:
-    """What the records of a manifest come to. floors: by destination, the last segment that is past as a
-    whole; names: of files that only wait for their removal."""
+    """The state after the records of a manifest.
+
+    removed_up_to: by destination, the last segment that is no longer needed. obsolete_files: names of files
+    that only have to be removed.
+    """
 
     def __init__(self, records: Iterable[Record]) -> None:
-        self.there: dict[int, There] = {}
+        self.states: dict[int, DestinationState] = {}
         self.runs: dict[int, Run] = {}
-        self.floors: dict[int, int] = {}
+        self.removed_up_to: dict[int, int] = {}
         self.ended: dict[int, bytes] = {}
-        self.names: set[str] = set()
-        self.number, self.mark = 0, at_time(0.0, 0, 0)
+        self.obsolete_files: set[str] = set()
+        self.last_number = 0
+        self.watermark = time_entry(0.0, 0, 0)
         for record in records:
             if isinstance(record, State):
-                for destination, where, ordinal, ahead, marked, total, segments in record.destinations:
-                    self.there[destination] = There(
+                for (
+                    destination,
+                    position,
+                    ordinal,
+                    ended,
+                    checkpoint,
+                    total,
+                    segments,
+                ) in record.destinations:
+                    self.states[destination] = DestinationState(
                         total,
-                        where,
+                        position,
                         ordinal,
-                        ahead,
-                        (marked, total),
+                        ended,
+                        (checkpoint, total),
                         segments={each: [start, 0] for each, start in segments},
                     )
             elif isinstance(record, Whole):
-                self.number, self.mark, self.names = record.next, record.mark, set(record.past)
-                self.ended = {ENTRY.unpack(entry)[2]: entry for entry in record.ended}
+                self.last_number, self.watermark, self.obsolete_files = (
+                    record.next,
+                    record.mark,
+                    set(record.past),
+                )
+                self.ended = {TIME_ENTRY.unpack(entry)[2]: entry for entry in record.ended}
             elif isinstance(record, Marks):
-                self._marks(record)
+                self._apply_marks(record)
             elif isinstance(record, Moved):
-                self._moved(record)
+                self._apply_moved(record)
             elif isinstance(record, Ended):
                 for entry in record.entries:
-                    self._one(entry)
-                self.mark = max(self.mark, record.mark)
+                    self._apply_ended(entry)
+                self.watermark = max(self.watermark, record.mark)
         self.ended = {
-            where: entry
-            for where, entry in self.ended.items()
-            if entry >= self.mark
-            and (there := self.there.get(ENTRY.unpack(entry)[1]))
-            and where >= there.place
+            position: entry
+            for position, entry in self.ended.items()
+            if entry >= self.watermark
+            and (state := self.states.get(TIME_ENTRY.unpack(entry)[1]))
+            and position >= state.position
         }
-        self.number = max(
+        self.last_number = max(
             [
-                self.number,
-                *self.floors.values(),
+                self.last_number,
+                *self.removed_up_to.values(),
                 *self.runs,
-                *(there.place >> 32 for there in self.there.values()),
+                *(state.position >> 32 for state in self.states.values()),
             ]
         )
 
-    def _of(self, destination: int) -> There:
-        return self.there.setdefault(destination, There())
+    def _state(self, destination: int) -> DestinationState:
+        return self.states.setdefault(destination, DestinationState())
 
-    def _marks(self, record: Marks) -> None:
+    def _apply_marks(self, record: Marks) -> None:
         for destination, number, start, offset, total in record.marks:
-            if number > self.floors.get(destination, 0):
-                there = self._of(destination)
-                there.segments[number] = [start, 0]
+            if number > self.removed_up_to.get(destination, 0):
+                state = self._state(destination)
+                state.segments[number] = [start, 0]
                 if offset:
-                    there.marked = place(number, offset), total
-        self.runs.update((words[1], Run(*words)) for words in record.added)
+                    state.checkpoint = pack_position(number, offset), total
+        self.runs.update((fields[1], Run(*fields)) for fields in record.added)
         for number in record.removed:
             self.runs.pop(number, None)
-        self.number = max([self.number, *record.removed])
+        self.last_number = max([self.last_number, *record.removed])
 
-    def _moved(self, record: Moved) -> None:
+    def _apply_moved(self, record: Moved) -> None:
         if not record.place:
-            self.there.pop(record.destination, None)
-            self.floors[record.destination] = max(record.ordinal, self.floors.get(record.destination, 0))
+            self.states.pop(record.destination, None)
+            self.removed_up_to[record.destination] = max(
+                record.ordinal, self.removed_up_to.get(record.destination, 0)
+            )
             return
-        there = self._of(record.destination)
-        if record.place >= there.place and record.place >> 32 > self.floors.get(record.destination, 0):
-            there.place, there.ordinal, there.ahead = record.place, record.ordinal, record.ahead
-
-    def _one(self, entry: bytes) -> None:
-        """Told twice it counts once."""
-        _, destination, where = ENTRY.unpack(entry)
-        if where in self.ended or entry < self.mark or where >> 32 <= self.floors.get(destination, 0):
+        state = self._state(record.destination)
+        if record.place >= state.position and record.place >> 32 > self.removed_up_to.get(
+            record.destination, 0
+        ):
+            state.position, state.ordinal, state.ended = record.place, record.ordinal, record.ahead
+
+    def _apply_ended(self, entry: bytes) -> None:
+        """Counts an end once, even if it was recorded twice."""
+        _, destination, position = TIME_ENTRY.unpack(entry)
+        if (
+            position in self.ended
+            or entry < self.watermark
+            or position >> 32 <= self.removed_up_to.get(destination, 0)
+        ):
             return
-        there = self._of(destination)
-        if where >= there.place:
-            self.ended[where] = entry
-            there.ahead += 1
+        state = self._state(destination)
+        if position >= state.position:
+            self.ended[position] = entry
+            state.ended += 1
--- a/birchstack/backlog/runs.py
+++ b/birchstack/backlog/runs.py
@@ -1,6 +1,7 @@
-"""Sorted runs on a folder: written in bounded pieces, looked into by pages, read on by cursors.
+"""Sorted runs in a folder: written in bounded pieces, searched page by page, read in order by cursors.
 
-Owns the files of runs. Must never know whether a document is owed: whoever merges says which entries count.
+Owns the files of runs. Must never know whether a document still waits: the caller of a merge says which
+entries are needed.
 """
 
 from __future__ import annotations
@@ -10,181 +11,206 @@
 
 from rbloom import Bloom
 
-from birchstack.backlog.plan import IDS, PAGE, PER_PAGE, SIZE, Run, page_at
+from birchstack.backlog.plan import ENTRIES_PER_PAGE, ENTRY_SIZE, IDS, PAGE_SIZE, Run, page_offset
 from birchstack.ledger.records import HEAD, Bits, Page, Scanner, frame, head, unframe
 from birchstack.net.machine import Folder
 
-FALSE = 0.01  # of the ids that are not in a run, so many are looked for in it
-STRIDE = 512  # entries handled in one piece of work
-PIECE = 65536  # of a filter
+FALSE_POSITIVE_RATE = 0.01  # share of the ids not in a run that are still searched for in it
+ENTRIES_PER_STEP = 512  # entries written or skipped in one piece of work
+FILTER_PIECE_SIZE = 65536  # bytes
 
 
-class Rot(Exception):
-    """A page or a filter of a run does not check; names file and offset."""
+class CorruptionError(Exception):
+    """A page or the Bloom filter of a run fails its checksum; the message names file and offset."""
 
     def __init__(self, run: Run, offset: int) -> None:
         super().__init__(f"{run.name} at {offset}")
         self.run = run
 
 
-def _same(number: int) -> int:
+def _identity(number: int) -> int:
+    """The filters' hash function: the keys are hashes already."""
     return number
 
 
-def whole(folder: Folder, handle: int, data: bytes) -> None:
+def append_all(folder: Folder, handle: int, data: bytes) -> None:
+    """Appends all the data; raises OSError if only part of it was written."""
     written = folder.append(handle, data)
     if written < len(data):
         raise OSError(f"{written} of {len(data)} bytes written")
 
 
-def page(folder: Folder, run: Run, index: int) -> bytes:
-    """The entries of one page."""
+def read_page(folder: Folder, run: Run, index: int) -> bytes:
+    """Returns the entries of one page."""
     try:
-        record = unframe(folder.read_at(run.name, page_at(index), PAGE))
+        record = unframe(folder.read_at(run.name, page_offset(index), PAGE_SIZE))
     except FileNotFoundError:
         record = None
     if not isinstance(record, Page):
-        raise Rot(run, page_at(index))
+        raise CorruptionError(run, page_offset(index))
     return record.entries
 
 
-def load(folder: Folder, run: Run) -> Bloom:
-    """The filter of a run of ids, as it was written."""
-    scanner, found = Scanner(run.number, run.bits), []
-    for offset in range(run.bits, run.size, PIECE):
-        found += scanner.feed(folder.read_at(run.name, offset, min(PIECE, run.size - offset)))
+def load_filter(folder: Folder, run: Run) -> Bloom:
+    """Reads the Bloom filter of a run of ids."""
+    scanner, found = Scanner(run.number, run.filter_offset), []
+    for offset in range(run.filter_offset, run.size, FILTER_PIECE_SIZE):
+        found += scanner.feed(folder.read_at(run.name, offset, min(FILTER_PIECE_SIZE, run.size - offset)))
     found += scanner.end()
     if not found or scanner.damages:
-        raise Rot(run, run.bits)
-    return Bloom.load_bytes(b"".join(record.piece for _, record in found), _same)
+        raise CorruptionError(run, run.filter_offset)
+    return Bloom.load_bytes(b"".join(record.piece for _, record in found), _identity)
 
 
-def write(
+def write_run(
     folder: Folder, kind: str, number: int, expected: int, entries: Iterable[bytes | None]
 ) -> Generator[None, None, tuple[Run, Bloom | None]]:
-    """Writes a run of sorted entries, a piece at each step; None among them only counts as work."""
-    run, bloom = Run(kind, number, 0, 0, 0), Bloom(max(1, expected), FALSE, _same) if kind == IDS else None
-    handle, held, count, size, work = folder.open(run.name, fresh=True), [], 0, HEAD.size, 0
+    """Writes a run of sorted entries, a piece at each step.
+
+    None in place of an entry counts as work and is not written.
+    """
+    run = Run(kind, number, 0, 0, 0)
+    bloom = Bloom(max(1, expected), FALSE_POSITIVE_RATE, _identity) if kind == IDS else None
+    handle = folder.open(run.name, fresh=True)
+    buffered = []
+    count = 0
+    size = HEAD.size
+    work = 0
     try:
-        whole(folder, handle, head(number))
+        append_all(folder, handle, head(number))
         for entry in entries:
             work += 1
             if entry is not None:
-                held.append(entry)
+                buffered.append(entry)
                 if bloom is not None:
                     bloom.add(int.from_bytes(entry[:8], "big"))
-            if work >= STRIDE:
-                work, full = 0, len(held) - len(held) % PER_PAGE
-                data = _paged(held[:full])
+            if work >= ENTRIES_PER_STEP:
+                work, full = 0, len(buffered) - len(buffered) % ENTRIES_PER_PAGE
+                data = _encode_pages(buffered[:full])
                 if data:
-                    whole(folder, handle, data)
-                count, size, held = count + full, size + len(data), held[full:]
+                    append_all(folder, handle, data)
+                count, size, buffered = count + full, size + len(data), buffered[full:]
                 yield
-        data = _paged(held)
-        count, bits = count + len(held), size + len(data)
+        data = _encode_pages(buffered)
+        count, filter_offset = count + len(buffered), size + len(data)
         if data:
-            whole(folder, handle, data)
-        size = bits
+            append_all(folder, handle, data)
+        size = filter_offset
         if bloom is not None:
             yield
             saved = bloom.save_bytes()
-            for at in range(0, len(saved), PIECE):
-                data = frame(Bits(saved[at : at + PIECE]))
-                whole(folder, handle, data)
+            for start in range(0, len(saved), FILTER_PIECE_SIZE):
+                data = frame(Bits(saved[start : start + FILTER_PIECE_SIZE]))
+                append_all(folder, handle, data)
                 size += len(data)
-                if at % (8 * PIECE) == 0:
+                if start % (8 * FILTER_PIECE_SIZE) == 0:
                     yield
-        return Run(kind, number, count, bits, size), bloom
+        return Run(kind, number, count, filter_offset, size), bloom
     finally:
         folder.close(handle)
 
 
-def _paged(entries: list[bytes]) -> bytes:
+def _encode_pages(entries: list[bytes]) -> bytes:
     return b"".join(
-        frame(Page(b"".join(entries[at : at + PER_PAGE]))) for at in range(0, len(entries), PER_PAGE)
+        frame(Page(b"".join(entries[start : start + ENTRIES_PER_PAGE])))
+        for start in range(0, len(entries), ENTRIES_PER_PAGE)
     )
 
 
-def merge(folder: Folder, runs: list[Run], counts: Callable[[bytes], bool]) -> Iterator[bytes | None]:
-    """The entries of these runs in order; None in place of one that counts no more, or is there twice. Raises
-    Rot."""
+def merge_entries(folder: Folder, runs: list[Run], needed: Callable[[bytes], bool]) -> Iterator[bytes | None]:
+    """Yields the entries of runs in order, and None for each that is a duplicate or no longer needed.
 
-    def each(run: Run) -> Iterator[bytes]:
+    Raises CorruptionError.
+    """
+
+    def read_entries(run: Run) -> Iterator[bytes]:
         for index in range(run.pages):
-            entries = page(folder, run, index)
-            for at in range(0, len(entries), SIZE):
-                yield entries[at : at + SIZE]
+            entries = read_page(folder, run, index)
+            for offset in range(0, len(entries), ENTRY_SIZE):
+                yield entries[offset : offset + ENTRY_SIZE]
 
     last = b""
-    for entry in heapq.merge(*map(each, runs)):
-        yield entry if entry != last and counts(entry) else None
+    for entry in heapq.merge(*map(read_entries, runs)):
+        yield entry if entry != last and needed(entry) else None
         last = entry
 
 
 def seek(folder: Folder, run: Run, key: bytes) -> tuple[int, int]:
-    """Page and offset in it of the first entry from key on; the page behind the last where there is none."""
-    low, high = 0, run.pages  # the page wanted: the last that begins before key, or the first
+    """Returns page and offset in it of the first entry that is not below key.
+
+    If there is none, returns the page after the last.
+    """
+    low, high = 0, run.pages  # searches for the last page that begins below key, else the first page
     while high - low > 1:
         middle = (low + high) // 2
-        if page(folder, run, middle)[:SIZE] < key:
+        if read_page(folder, run, middle)[:ENTRY_SIZE] < key:
             low = middle
         else:
             high = middle
     if not run.pages:
         return 0, 0
-    entries = page(folder, run, low)
-    for at in range(0, len(entries), SIZE):
-        if entries[at : at + SIZE] >= key:
-            return low, at
+    entries = read_page(folder, run, low)
+    for offset in range(0, len(entries), ENTRY_SIZE):
+        if entries[offset : offset + ENTRY_SIZE] >= key:
+            return low, offset
     return low + 1, 0
 
 
-def look(folder: Folder, run: Run, key: bytes) -> Iterator[bytes]:
-    """The entries that begin with key."""
-    index, at = seek(folder, run, key)
+def lookup(folder: Folder, run: Run, key: bytes) -> Iterator[bytes]:
+    """Yields the entries that begin with key."""
+    index, offset = seek(folder, run, key)
     while index < run.pages:
-        entries = page(folder, run, index)
-        while at < len(entries):
-            if not entries.startswith(key, at):
+        entries = read_page(folder, run, index)
+        while offset < len(entries):
+            if not entries.startswith(key, offset):
                 return
-            yield entries[at : at + SIZE]
-            at += SIZE
-        index, at = index + 1, 0
+            yield entries[offset : offset + ENTRY_SIZE]
+            offset += ENTRY_SIZE
+        index, offset = index + 1, 0
 
 
 class Cursor:
-    """Reads a run on, entry by entry; one page is held. top: the entry it stands at, None behind the last.
-    rotten: told of a page that does not check, which is passed over."""
+    """Reads a run entry by entry, with one page in memory.
+
+    entry is the present one, None after the last. A corrupted page is reported to on_corruption and skipped.
+    """
 
-    __slots__ = ("run", "top", "_folder", "_index", "_at", "_page", "_rotten")
+    __slots__ = ("run", "entry", "_folder", "_index", "_offset", "_page", "_on_corruption")
 
-    def __init__(self, folder: Folder, run: Run, key: bytes, rotten: Callable[[Rot], None]) -> None:
-        self.run, self._folder, self._rotten = run, folder, rotten
+    def __init__(
+        self, folder: Folder, run: Run, key: bytes, on_corruption: Callable[[CorruptionError], None]
+    ) -> None:
+        self.run = run
+        self._folder = folder
+        self._on_corruption = on_corruption
         try:
-            self._index, self._at = seek(folder, run, key)
-        except Rot as problem:
-            rotten(problem)
-            self._index = self._at = 0  # from the beginning: what is past is passed over one by one
-        self._page, self.top = b"", None
+            self._index, self._offset = seek(folder, run, key)
+        except CorruptionError as problem:
+            on_corruption(problem)
+            self._index = self._offset = 0  # from the beginning: the caller skips ended entries one by one
+        self._page = b""
+        self.entry = None
         self._load()
 
     def _load(self) -> None:
+        """Reads the next page that is intact."""
         self._page = b""
         while not self._page and self._index < self.run.pages:
             try:
-                self._page = page(self._folder, self.run, self._index)
-            except Rot as problem:
-                self._rotten(problem)
-                self._index, self._at = self._index + 1, 0
-        self.top = self._page[self._at : self._at + SIZE] or None
+                self._page = read_page(self._folder, self.run, self._index)
+            except CorruptionError as problem:
+                self._on_corruption(problem)
+                self._index, self._offset = self._index + 1, 0
+        self.entry = self._page[self._offset : self._offset + ENTRY_SIZE] or None
 
     def next(self) -> None:
-        self._at += SIZE
-        if self._at < len(self._page):
-            self.top = self._page[self._at : self._at + SIZE]
+        """Moves to the next entry."""
+        self._offset += ENTRY_SIZE
+        if self._offset < len(self._page):
+            self.entry = self._page[self._offset : self._offset + ENTRY_SIZE]
         else:
-            self._index, self._at = self._index + 1, 0
+            self._index, self._offset = self._index + 1, 0
             self._load()
 
     def __lt__(self, other: Cursor) -> bool:
-        return self.top < other.top
+        return self.entry < other.entry
--- a/birchstack/backlog/settings.py
+++ b/birchstack/backlog/settings.py
@@ -1,7 +1,6 @@
-"""The operators' file of the backlog (deploy/backlog.toml, named by BALANCER_BACKLOG): read and checked here.
+"""Reads and checks the operators' file of the backlog (deploy/backlog.toml, named by BALANCER_BACKLOG).
 
-Owns its keys and their defaults. A wrong one is named with its path in a ConfigError, which ends the start
-with status 2.
+Owns its keys. A wrong one is named with its path in a ConfigError, which ends the start with status 2.
 """
 
 from __future__ import annotations
@@ -15,17 +14,20 @@
 
 
 class Settings(Struct, frozen=True, forbid_unknown_fields=True):
-    """window: documents that a destination keeps in memory; bytes: room on disk for what waits beyond."""
+    """window: documents that a destination keeps in memory. bytes: disk space for the documents beyond it."""
 
     window: Annotated[int, Meta(ge=1)]
     bytes: Annotated[int, Meta(ge=16 << 20)]
 
 
 class File(Struct, frozen=True, forbid_unknown_fields=True):
+    """The top level of the file."""
+
     backlog: Settings
 
 
 def load(path: str) -> Settings:
+    """Returns the settings of a file."""
     try:
         with open(path, "rb") as file:
             return decode(file.read(), path)
@@ -34,6 +36,7 @@
 
 
 def decode(text: bytes, path: str) -> Settings:
+    """Returns the settings of a file's text; the path is for error messages."""
     try:
         return msgspec.toml.decode(text, type=File).backlog
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -1,10 +1,10 @@
-"""The backlog on disk: documents that wait beyond their destination's window, recorded when append() returns.
+"""The backlog on disk: documents beyond their destination's window, recorded when append() returns.
 
-Owns the segments, one log for each destination, and where each destination's backlog begins. Must never
-decide anything about a document, hold one in memory after its record is written, or read what is owed at a
-start. The layout, the crash points and the bounds: docs/notes/backlog.md.
+Owns the segments (one log for each destination) and the position where each destination's waiting documents
+begin. Must never decide anything about a document, hold one in memory after its record is written, or read
+all waiting documents at a start. Layout, crash points and bounds: docs/notes/backlog.md.
 
-Not for two processes at one folder: the sender's lock is held by whoever opens a backlog.
+Two processes must not open the same folder: whoever opens a backlog holds the sender's lock.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 from birchstack.backlog.index import Index
 from birchstack.backlog.manifest import Manifest
 from birchstack.backlog.plan import (
-    ENTRY,
-    ID,
+    ID_ENTRY,
     IDS,
     MANIFEST,
-    NEVER,
-    OFFSET,
+    MAX_ENTRY,
+    OFFSET_MASK,
+    TIME_ENTRY,
     TIMES,
     Run,
     Sizes,
-    after,
-    at_time,
-    blocks,
-    hashed,
-    parse,
-    place,
-    segment,
+    allocated_size,
+    expiry_limit,
+    hash_id,
+    pack_position,
+    parse_name,
+    segment_name,
+    time_entry,
 )
-from birchstack.backlog.replay import Replay, There
-from birchstack.backlog.runs import Rot
+from birchstack.backlog.replay import DestinationState, Replay
+from birchstack.backlog.runs import CorruptionError
 from birchstack.backlog.settings import Settings
 from birchstack.ledger.records import (
     HEAD,
@@ -61,457 +61,540 @@
 from birchstack.net.log import say
 from birchstack.net.machine import Folder
 
-READ, FIRST = 65536, 16384  # a piece of a segment; the first one
-HANDLES, RUNS_GIVEN = 64, 64  # segments open for writing; destinations whose read() is remembered
-ONE = 4096  # read for one document at first
-KINDS = (IDS, TIMES)
-LINE = 256  # of a document's record beside body and words
-STATES = 128  # destinations in one record of a snapshot
-REMOVED = 4  # files removed in one step
+READ_SIZE = 65536  # bytes of one read of a segment
+FIRST_READ_SIZE = 16384  # bytes of the first read of a segment in a scan
+DOCUMENT_READ_SIZE = 4096  # bytes read for one document at first; a second read follows if it is longer
+MAX_OPEN_SEGMENTS = 64  # file descriptors open for appending
+MAX_REMEMBERED_READS = 64  # destinations whose last read() is remembered for moved()
+RUN_KINDS = (IDS, TIMES)
+RECORD_OVERHEAD_BYTES = 256  # bytes of a document's record besides its body
+DESTINATIONS_PER_STATE = 128  # destinations in one State record of a snapshot
+REMOVALS_PER_STEP = 4  # files
 SIZES = Sizes()
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class Given:
-    """A record that a read passed: where it ends, the ordinal behind it, whether it was past then."""
+class ReadRecord:
+    """A record that a read passed.
+
+    end is the position after the record and ordinal the number of records up to there; ended tells whether
+    the document had ended when it was read.
+    """
 
     id: str
     entry: bytes
-    where: int
+    position: int
     end: int
     ordinal: int
-    past: bool
+    ended: bool
     taken: float
 
 
 class Backlog:
-    """See birchstack.backlog.model for the interface in its plainest form. OSError passes from append(),
-    moved() and reads; then nothing has changed. read() and due() may give fewer than there are, even none,
-    where much that is past lies before them: waiting() and next_due() tell; call again in the next turn."""
+    """The backlog in a folder; birchstack.backlog.model has the same interface in its simplest form.
+
+    append(), moved() and the reads raise OSError, and then nothing has changed. read() and due() may return
+    fewer documents than there are, even none, where many ended documents come first: waiting() and next_due()
+    show whether there are more, and the caller repeats the call in its next turn.
+    """
 
     def __init__(self, folder: Folder, settings: Settings, now: float, sizes: Sizes = SIZES) -> None:
-        self._folder, self._room, self._sizes = folder, settings.bytes, sizes
-        self._number = 0
-        self._there: dict[int, There] = {}
-        self._count = self._used = self._unmarked = 0
-        self._behind = 0  # records from the beginnings on: owed, and ended
-        self.lost = 0  # documents that rot took, since the start
-        self._mark = at_time(0.0, 0, 0)  # all entries before it are past
+        self._folder = folder
+        self._capacity_bytes = settings.bytes
+        self._sizes = sizes
+        self._last_number = 0  # the highest file number in use
+        self._states: dict[int, DestinationState] = {}
+        self._waiting_count = 0
+        self._used_bytes = 0
+        self._unindexed_bytes = 0  # bytes of the records written since the last checkpoint
+        self._retained_count = 0  # records from the start positions on, whether waiting or ended
+        self.lost = 0  # documents lost to corruption since the process started
+        self._watermark = time_entry(0.0, 0, 0)  # the documents of all entries below it have ended
         self._now = now
-        self._ended: dict[int, bytes] = {}  # those behind the mark that are past, by place
-        self._ends: list[bytes] = []  # a heap of them
-        self._offered: dict[str, tuple[bytes, Kept]] = {}  # by due(), until ended or moved
-        self._given: OrderedDict[int, list[Given]] = OrderedDict()
+        self._ended: dict[int, bytes] = {}  # by position: entries from the watermark on that have ended
+        self._ended_heap: list[bytes] = []  # the same entries as a heap; may hold obsolete ones
+        self._offered: dict[str, tuple[bytes, Kept]] = {}  # returned by due(), until they end or move
+        self._last_reads: OrderedDict[int, list[ReadRecord]] = OrderedDict()
         self._handles: OrderedDict[int, int] = OrderedDict()  # by destination
-        self._past: deque[tuple[str, int]] = deque()  # files that only wait for their removal, and bytes
-        self._fresh: set[int] = set()  # destinations written to since the last mark
+        self._obsolete_files: deque[tuple[str, int]] = deque()  # names and sizes of files to remove
+        self._unindexed_destinations: set[int] = set()  # those written to since the last checkpoint
         self._jobs: dict[str, Generator[None, None, None]] = {}
-        self._frozen: list[tuple[int, There, int, int, int]] = []  # marks of the flush that goes on
-        self._flushed = 0
-        self._ill = False  # the disk refused the last step
-        self._rotten: dict[int, Run] = {}  # runs that lost something: made anew from the segments
-        self._hollow: set[int] = set()  # with losses, and maybe nothing left: looked through
-        self._damaged: set[tuple[int, int]] = set()
+        # Checkpoints of the flush in progress: destination, its state, segment, size, total
+        self._flush_checkpoints: list[tuple[int, DestinationState, int, int, int]] = []
+        self._flush_count = 0
+        self._step_failed = False  # whether the last step failed with an OSError
+        self._corrupt_runs: dict[int, Run] = {}  # to be rebuilt from the segments
+        self._possibly_empty: set[int] = set()  # destinations with losses whose records must be scanned
+        self._reported_damage: set[tuple[int, int]] = set()
         self._index = Index(
-            folder, self._next, {IDS: self._counts_id, TIMES: self._counts_time}, self._rot, sizes
+            folder,
+            self._next_number,
+            {IDS: self._id_entry_needed, TIMES: self._time_entry_needed},
+            self._report_corrupt_run,
+            sizes,
         )
-        self._manifest = Manifest(folder, self._next, sizes.logged)
+        self._manifest = Manifest(folder, self._next_number, sizes.logged)
         self._recover()
 
     def __len__(self) -> int:
-        return self._count
+        return self._waiting_count
 
-    def _next(self) -> int:
-        self._number += 1
-        return self._number
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
-    # At the start
+    # Recovery at the start
 
     def _recover(self) -> None:
-        """The manifest, and what was written since its last marks; nothing else is read."""
+        """Reads the manifest and the records written since its last checkpoints; nothing else is read."""
         names = [name for name in self._folder.names() if name.startswith(PREFIX)]
-        self._number = max((parsed[1] for parsed in map(parse, names) if parsed), default=0)
+        self._last_number = max((parsed[1] for parsed in map(parse_name, names) if parsed), default=0)
         records = self._manifest.read(names)
-        past = Replay(records)
-        self._number = max(self._number, past.number)
-        self._mark, self._ended = past.mark, past.ended
-        self._ends = sorted(self._ended.values())
-        files: dict[int, list[int]] = {each: [] for each in past.there}
+        replay = Replay(records)
+        self._last_number = max(self._last_number, replay.last_number)
+        self._watermark = replay.watermark
+        self._ended = replay.ended
+        self._ended_heap = sorted(self._ended.values())
+        files: dict[int, list[int]] = {each: [] for each in replay.states}
         for name in names:
-            what, number = parse(name) or ("", 0)
-            if what.isdecimal() and name not in past.names and number > past.floors.get(int(what), 0):
-                files.setdefault(int(what), []).append(number)
+            kind, number = parse_name(name) or ("", 0)
+            if (
+                kind.isdecimal()
+                and name not in replay.obsolete_files
+                and number > replay.removed_up_to.get(int(kind), 0)
+            ):
+                files.setdefault(int(kind), []).append(number)
             elif (
-                what.isdecimal() or what in KINDS and number not in past.runs or name.startswith(MANIFEST)
+                kind.isdecimal()
+                or kind in RUN_KINDS
+                and number not in replay.runs
+                or name.startswith(MANIFEST)
             ) and name != self._manifest.name:
-                size = self._folder.size(name) if what.isdecimal() else 0
-                self._used += blocks(size)
-                self._remove(name, size)
-        for run in past.runs.values():
+                size = self._folder.size(name) if kind.isdecimal() else 0
+                self._used_bytes += allocated_size(size)
+                self._schedule_removal(name, size)
+        for run in replay.runs.values():
             try:
-                self._index.found(run, self._mark)
-            except (Rot, OSError) as problem:
-                say(log, "an index is lost; it is made anew", logging.ERROR, file=run.name, problem=problem)
-                self._rotten[run.number] = run
-        with contextlib.suppress(OSError):  # tried again by step()
+                self._index.restore(run, self._watermark)
+            except (CorruptionError, OSError) as problem:
+                say(
+                    log,
+                    "index run unreadable; it is rebuilt from the segments",
+                    logging.ERROR,
+                    file=run.name,
+                    problem=problem,
+                )
+                self._corrupt_runs[run.number] = run
+        with contextlib.suppress(OSError):  # step() tries again
             if not records:
-                self._snapshot()
+                self._write_snapshot()
         for destination, numbers in files.items():
-            self._found(destination, past.there.get(destination) or There(), sorted(numbers))
-        self._manifest.reserve()
-        if self._there:
-            say(log, "backlog recovered", owed=self._count, destinations=len(self._there))
-
-    def _found(self, destination: int, there: There, numbers: list[int]) -> None:
-        """One destination's segments; those of its tail are read."""
-        known, there.segments = there.segments, {}
-        there.place = there.place or (place(min(known), HEAD.size) if known else 0)
-        (at, there.total), first = max(there.marked, (there.place, there.ordinal)), there.place >> 32
-        self._there[destination] = there
+            self._recover_destination(
+                destination, replay.states.get(destination) or DestinationState(), sorted(numbers)
+            )
+        self._manifest.reserve_ballast()
+        if self._states:
+            say(log, "backlog recovered", owed=self._waiting_count, destinations=len(self._states))
+
+    def _recover_destination(self, destination: int, state: DestinationState, numbers: list[int]) -> None:
+        """Restores the log of one destination; reads only its segments from the last checkpoint on."""
+        known = state.segments
+        state.segments = {}
+        state.position = state.position or (pack_position(min(known), HEAD.size) if known else 0)
+        indexed_to, state.total = max(state.checkpoint, (state.position, state.ordinal))
+        first = state.position >> 32
+        self._states[destination] = state
         for number in numbers:
-            name = segment(destination, number)
+            name = segment_name(destination, number)
             size = self._folder.size(name)
-            self._used += blocks(size)
-            start, clean, before = known.get(number, (there.total, 0))[0], False, there.total
-            if number >= max(first, at >> 32):
-                there.segments[number] = [start, size]
-                there.place = there.place or place(number, HEAD.size)
-                offset = at & OFFSET if number == at >> 32 else HEAD.size
-                clean = self._tail(destination, there, number, offset)
-            if number < first or number not in known and before == there.total:
-                there.segments.pop(number, None)  # left behind, or nothing was written whole
-                self._remove(name, size)
+            self._used_bytes += allocated_size(size)
+            start = known.get(number, (state.total, 0))[0]
+            intact = False
+            total_before = state.total
+            if number >= max(first, indexed_to >> 32):
+                state.segments[number] = [start, size]
+                state.position = state.position or pack_position(number, HEAD.size)
+                offset = indexed_to & OFFSET_MASK if number == indexed_to >> 32 else HEAD.size
+                intact = self._index_tail(destination, state, number, offset)
+            if number < first or number not in known and total_before == state.total:
+                state.segments.pop(number, None)  # before the start position, or without any intact record
+                self._schedule_removal(name, size)
                 continue
-            there.segments[number] = [start, size]
-            there.place = there.place or place(number, HEAD.size)
-            there.open = clean and size < self._sizes.sealed
-            if self._index.wants_flush():  # where no mark tells of it: not to hold all of it
+            state.segments[number] = [start, size]
+            state.position = state.position or pack_position(number, HEAD.size)
+            state.appendable = intact and size < self._sizes.sealed
+            if self._index.wants_flush():  # bounds the memory where many records lie after the checkpoint
                 with contextlib.suppress(OSError):
                     for _ in self._flush():
                         pass
-        there.rotten = any(number >= first and number not in there.segments for number in known)
-        last, begin = max([*numbers, *known], default=0), next(iter(there.segments), 0)
-        if there.rotten and there.place >> 32 != begin:  # the first segment is gone
-            behind = there.segments[begin][0] if begin else there.total
-            self._gone(destination, there, behind - there.ordinal)
-            there.place, there.ordinal = place(begin, HEAD.size), behind
-        self._count += there.waiting()
-        if there.segments and (there.waiting() or there.rotten):
-            self._behind += there.total - there.ordinal
-            if not there.waiting():
-                self._hollow.add(destination)
+        state.has_losses = any(number >= first and number not in state.segments for number in known)
+        last = max([*numbers, *known], default=0)
+        first_left = next(iter(state.segments), 0)
+        if state.has_losses and state.position >> 32 != first_left:  # the first segment is missing
+            ordinal = state.segments[first_left][0] if first_left else state.total
+            self._count_lost(destination, state, ordinal - state.ordinal)
+            state.position = pack_position(first_left, HEAD.size)
+            state.ordinal = ordinal
+        self._waiting_count += state.waiting()
+        if state.segments and (state.waiting() or state.has_losses):
+            self._retained_count += state.total - state.ordinal
+            if not state.waiting():
+                self._possibly_empty.add(destination)
             return
-        self._manifest.note([Moved(destination, 0, last, 0)], must=False)
-        for number, (_, size) in there.segments.items():
-            self._remove(segment(destination, number), size)
-        del self._there[destination]
-
-    def _tail(self, destination: int, there: There, number: int, offset: int) -> bool:
-        """Enters what a segment holds from an offset on; True if it ends with a whole record."""
-        rest = There(place=place(number, offset), segments={number: there.segments[number]})
-        begun = end = offset
-        for where, behind, _, kept in self._scan(destination, rest):
-            there.total, end = there.total + 1, behind & OFFSET
-            entry = at_time(kept.expiry, destination, where)
-            if where >= there.place and not self._is_past(entry, where):
-                self._enter(kept.id, entry, destination, end - begun)
-            begun = end
-        return end == there.segments[number][1]
-
-    # What is asked
+        self._manifest.append([Moved(destination, 0, last, 0)], required=False)
+        for number, (_, size) in state.segments.items():
+            self._schedule_removal(segment_name(destination, number), size)
+        del self._states[destination]
+
+    def _index_tail(self, destination: int, state: DestinationState, number: int, offset: int) -> bool:
+        """Indexes a segment's records from an offset on; returns whether it ends with an intact record."""
+        tail = DestinationState(
+            position=pack_position(number, offset), segments={number: state.segments[number]}
+        )
+        begin = end = offset
+        for position, end_position, _, kept in self._scan(destination, tail):
+            state.total, end = state.total + 1, end_position & OFFSET_MASK
+            entry = time_entry(kept.expiry, destination, position)
+            if position >= state.position and not self._has_ended(entry, position):
+                self._index_document(kept.id, entry, destination, end - begin)
+            begin = end
+        return end == state.segments[number][1]
+
+    # Queries
 
     def waiting(self, destination: int) -> tuple[int, float]:
-        """Since when: where much that is past lies before the first, or earlier, never later."""
-        there = self._there.get(destination)
-        if there is None:
+        """Returns the number of documents that wait and when the first of them was taken.
+
+        Where many ended records lie before the first one, that time may be too early, never too late.
+        """
+        state = self._states.get(destination)
+        if state is None:
             return 0, 0.0
-        count = there.waiting()
-        if there.since is None and (count or there.rotten):
+        count = state.waiting()
+        if state.first_taken is None and (count or state.has_losses):
             with contextlib.suppress(OSError):
-                self._look(destination, there, 1)
-            if destination not in self._there:
+                self._read_waiting(destination, state, 1)
+            if destination not in self._states:
                 return 0, 0.0
-        since = there.passed if there.since is None else there.since
-        return max(count, 1 if there.rotten else 0), since
+        first_taken = state.first_taken_min if state.first_taken is None else state.first_taken
+        return max(count, 1 if state.has_losses else 0), first_taken
 
     def destinations(self) -> Iterable[int]:
-        return [*self._there]
+        """Returns the destinations that have documents waiting."""
+        return [*self._states]
 
     def fits(self, sizes: list[int]) -> bool:
-        """Room is kept for merging the runs, for a new manifest beside the old one, and the ballast."""
+        """Returns whether documents with bodies of these sizes fit.
+
+        Room is reserved for merging the runs, for a new manifest beside the old one, and 1 MiB for the
+        ballast.
+        """
         runs = sum(run.size for run in self._index.runs.values())
-        kept = runs + 2 * self._manifest.size + (1 << 20)
-        entries = (sum(map(len, (self._index.tail, self._index.frozen or ()))) + len(sizes)) * 4 * ENTRY.size
-        new = sum(size + LINE + 2 * HEAD.size for size in sizes) + entries
-        return self._used + runs + kept + new <= self._room
+        reserved = runs + 2 * self._manifest.size + (1 << 20)
+        entries = (
+            (sum(map(len, (self._index.memtable, self._index.frozen or ()))) + len(sizes))
+            * 4
+            * TIME_ENTRY.size
+        )
+        added = sum(size + RECORD_OVERHEAD_BYTES + 2 * HEAD.size for size in sizes) + entries
+        return self._used_bytes + runs + reserved + added <= self._capacity_bytes
 
     def holds(self, doc_id: str) -> bool:
-        return self._find(doc_id) is not None
+        """Returns whether the document with this id waits here."""
+        return self._find_entry(doc_id) is not None
 
     def next_due(self) -> float:
-        """Or earlier, never later."""
+        """Returns the earliest expiry; it may be too early, never too late."""
         if self._offered:
-            return min(ENTRY.unpack(entry)[0] for entry, _ in self._offered.values())
+            return min(TIME_ENTRY.unpack(entry)[0] for entry, _ in self._offered.values())
         top = self._index.top()
-        return ENTRY.unpack(top)[0] if top else inf
+        return TIME_ENTRY.unpack(top)[0] if top else inf
 
-    # What happens
+    # Changes
 
     def append(self, kept: Kept) -> None:
-        there = self._there.get(kept.destination) or There()
-        if len(self._index.tail) >= 2 * self._sizes.flushed:
-            self.step()  # whoever appends and never steps still stays bounded
-            if len(self._index.tail) >= 4 * self._sizes.flushed:
+        """Records a document as the last of its destination."""
+        state = self._states.get(kept.destination) or DestinationState()
+        if len(self._index.memtable) >= 2 * self._sizes.flushed:
+            self.step()  # bounds the memory even if the caller never calls step()
+            if len(self._index.memtable) >= 4 * self._sizes.flushed:
                 raise OSError("the index of the backlog cannot be written")
         try:
-            data, first = frame(kept), b""
-        except UnicodeError as problem:  # half a character in a name
-            raise OSError(f"not to be recorded: {problem}") from problem
-        number = next(reversed(there.segments), 0)
-        size = there.segments[number][1] if there.open else 0
-        if not there.open or size + len(data) > self._sizes.sealed and size > HEAD.size:
-            number, size = self._next(), HEAD.size
-            first = head(number)
-        where = place(number, size)
-        if at_time(kept.expiry, kept.destination, where) < self._mark:  # it is due, and comes next
-            kept = msgspec.structs.replace(kept, expiry=nextafter(ENTRY.unpack(self._mark)[0], inf))
+            data, header = frame(kept), b""
+        except UnicodeError as problem:  # a text with a lone surrogate
+            raise OSError(f"document cannot be encoded: {problem}") from problem
+        number = next(reversed(state.segments), 0)
+        size = state.segments[number][1] if state.appendable else 0
+        if not state.appendable or size + len(data) > self._sizes.sealed and size > HEAD.size:
+            number, size = self._next_number(), HEAD.size
+            header = head(number)
+        position = pack_position(number, size)
+        # An entry below the watermark would count as ended: the expiry moves to just after the watermark's,
+        # so the document is the next one due.
+        if time_entry(kept.expiry, kept.destination, position) < self._watermark:
+            kept = msgspec.structs.replace(kept, expiry=nextafter(TIME_ENTRY.unpack(self._watermark)[0], inf))
             data = frame(kept)
         try:
-            handle = self._handle(kept.destination, number, fresh=bool(first))
-            written = self._folder.append(handle, first + data)
-            if written < len(first) + len(data):
+            handle = self._open_segment(kept.destination, number, fresh=bool(header))
+            written = self._folder.append(handle, header + data)
+            if written < len(header) + len(data):
                 raise OSError(f"{written} of {len(data)} bytes written")
         except OSError:
-            self._close(kept.destination)
-            there.open = False  # what may be torn there is followed by nothing
-            if first:
-                self._past.append((segment(kept.destination, number), 0))
+            self._close_segment(kept.destination)
+            state.appendable = False  # nothing is appended after a record that may be torn
+            if header:
+                self._obsolete_files.append((segment_name(kept.destination, number), 0))
             raise
-        if first:
-            there.place = there.place or place(number, HEAD.size)
-            there.segments[number] = [there.total, HEAD.size]
-            self._used += blocks(HEAD.size)
-        if not there.waiting():
-            there.since = kept.taken
-        self._there[kept.destination] = there
-        self._used += blocks(size + len(data)) - blocks(size)
-        there.segments[number][1] = size + len(data)
-        there.total, there.open = there.total + 1, True
-        self._count, self._behind = self._count + 1, self._behind + 1
-        self._enter(kept.id, at_time(kept.expiry, kept.destination, where), kept.destination, len(data))
-
-    def _enter(self, doc_id: str, entry: bytes, destination: int, size: int) -> None:
-        self._index.tail.add(hashed(doc_id), entry)
-        self._fresh.add(destination)
-        self._unmarked += size
-
-    def _handle(self, destination: int, number: int, fresh: bool) -> int:
+        if header:
+            state.position = state.position or pack_position(number, HEAD.size)
+            state.segments[number] = [state.total, HEAD.size]
+            self._used_bytes += allocated_size(HEAD.size)
+        if not state.waiting():
+            state.first_taken = kept.taken
+        self._states[kept.destination] = state
+        self._used_bytes += allocated_size(size + len(data)) - allocated_size(size)
+        state.segments[number][1] = size + len(data)
+        state.total, state.appendable = state.total + 1, True
+        self._waiting_count, self._retained_count = self._waiting_count + 1, self._retained_count + 1
+        self._index_document(
+            kept.id, time_entry(kept.expiry, kept.destination, position), kept.destination, len(data)
+        )
+
+    def _index_document(self, doc_id: str, entry: bytes, destination: int, size: int) -> None:
+        self._index.memtable.add(hash_id(doc_id), entry)
+        self._unindexed_destinations.add(destination)
+        self._unindexed_bytes += size
+
+    def _open_segment(self, destination: int, number: int, fresh: bool) -> int:
+        """Returns the descriptor of a destination's last segment; may close that of another destination."""
         if fresh:
-            self._close(destination)
+            self._close_segment(destination)
         handle = self._handles.get(destination)
         if handle is None:
-            handle = self._folder.open(segment(destination, number), fresh=fresh)
-            while len(self._handles) >= HANDLES:
+            handle = self._folder.open(segment_name(destination, number), fresh=fresh)
+            while len(self._handles) >= MAX_OPEN_SEGMENTS:
                 self._folder.close(self._handles.popitem(last=False)[1])
             self._handles[destination] = handle
         self._handles.move_to_end(destination)
         return handle
 
-    def _close(self, destination: int) -> None:
+    def _close_segment(self, destination: int) -> None:
         handle = self._handles.pop(destination, None)
         if handle is not None:
             self._folder.close(handle)
 
     def read(self, destination: int, most: int) -> list[Kept]:
-        there = self._there.get(destination)
-        if there is None:
+        """Returns the first documents that wait, at most so many, in order of arrival; they stay here."""
+        state = self._states.get(destination)
+        if state is None:
             return []
-        given, found = self._look(destination, there, most)
-        self._given[destination] = given
-        self._given.move_to_end(destination)
-        if len(self._given) > RUNS_GIVEN:
-            self._given.popitem(last=False)
+        records, found = self._read_waiting(destination, state, most)
+        self._last_reads[destination] = records
+        self._last_reads.move_to_end(destination)
+        if len(self._last_reads) > MAX_REMEMBERED_READS:
+            self._last_reads.popitem(last=False)
         return found
 
-    def _look(self, destination: int, there: There, most: int) -> tuple[list[Given], list[Kept]]:
-        """What waits first; what is past before that is left behind."""
-        given, found, ends = [], [], True
-        begun = there.place
-        for where, end, ordinal, kept in self._scan(destination, there):
-            entry = at_time(kept.expiry, destination, where)
-            past = self._is_past(entry, where)
-            given.append(Given(kept.id, entry, where, end, ordinal + 1, past, kept.taken))
-            if not past:
+    def _read_waiting(
+        self, destination: int, state: DestinationState, most: int
+    ) -> tuple[list[ReadRecord], list[Kept]]:
+        """Reads the first documents that wait; the start position moves past ended records before them."""
+        records, found, exhausted = [], [], True
+        begin = state.position
+        for position, end, ordinal, kept in self._scan(destination, state):
+            entry = time_entry(kept.expiry, destination, position)
+            ended = self._has_ended(entry, position)
+            records.append(ReadRecord(kept.id, entry, position, end, ordinal + 1, ended, kept.taken))
+            if not ended:
                 if len(found) == most:
-                    ends = False
+                    exhausted = False
                     break
                 found.append(kept)
-            far = end >> 32 != begun >> 32 or end - begun >= self._sizes.passed
-            if far and len(given) > 1:
-                ends = False
+            limit_reached = end >> 32 != begin >> 32 or end - begin >= self._sizes.passed
+            if limit_reached and len(records) > 1:
+                exhausted = False
                 break
-        skipped = next((at for at, each in enumerate(given) if not each.past), len(given))
-        if skipped or ends and not found:
-            there.passed = given[skipped - 1].taken if skipped else there.passed
-            self._leave(destination, there, given[:skipped], ends and not found, must=False)
-            given = given[skipped:]
-        there.since = given[0].taken if given else None
-        return given, found
-
-    def _scan(self, destination: int, there: There) -> Iterator[tuple[int, int, int, Kept]]:
-        """Each record from the beginning of what waits: its place, where it ends, how many are before it."""
-        ordinal, offset, first = there.ordinal, there.place & OFFSET, there.place >> 32
-        for number, (start, size) in there.segments.items():
+        skipped = next((index for index, each in enumerate(records) if not each.ended), len(records))
+        if skipped or exhausted and not found:
+            state.first_taken_min = records[skipped - 1].taken if skipped else state.first_taken_min
+            self._advance(destination, state, records[:skipped], exhausted and not found, required=False)
+            records = records[skipped:]
+        state.first_taken = records[0].taken if records else None
+        return records, found
+
+    def _scan(self, destination: int, state: DestinationState) -> Iterator[tuple[int, int, int, Kept]]:
+        """Yields each record from the start position on: its position, its end, its ordinal, the document."""
+        ordinal = state.ordinal
+        offset = state.position & OFFSET_MASK
+        first = state.position >> 32
+        for number, (start, size) in state.segments.items():
             if number != first:
                 offset, ordinal = HEAD.size, start
-            scanner, name = Scanner(number, offset), segment(destination, number)
-            piece = FIRST
+            scanner, name = Scanner(number, offset), segment_name(destination, number)
+            read_size = FIRST_READ_SIZE
             while offset < size:
                 try:
-                    data = self._folder.read_at(name, offset, min(piece, size - offset))
+                    data = self._folder.read_at(name, offset, min(read_size, size - offset))
                 except FileNotFoundError:
                     data = b""
                 if not data:
-                    self._damage(name, number, offset, size)
+                    self._report_damage(name, number, offset, size)
                     break
-                offset, piece = offset + len(data), READ
-                for at, record in scanner.feed(data):
+                offset, read_size = offset + len(data), READ_SIZE
+                for begin, record in scanner.feed(data):
                     if isinstance(record, Kept) and record.destination == destination:
-                        yield place(number, at), place(number, scanner.past), ordinal, record
+                        yield (
+                            pack_position(number, begin),
+                            pack_position(number, scanner.past),
+                            ordinal,
+                            record,
+                        )
                         ordinal += 1
-            for at, record in scanner.end():
+            for begin, record in scanner.end():
                 if isinstance(record, Kept) and record.destination == destination:
-                    yield place(number, at), place(number, scanner.past), ordinal, record
+                    yield pack_position(number, begin), pack_position(number, scanner.past), ordinal, record
                     ordinal += 1
             for damage in scanner.damages:
                 if damage.rot:
-                    self._damage(name, number, damage.start, damage.end)
+                    self._report_damage(name, number, damage.start, damage.end)
 
-    def _damage(self, name: str, number: int, start: int, end: int) -> None:
-        if (number, start) not in self._damaged and len(self._damaged) < 4096:
-            self._damaged.add((number, start))
+    def _report_damage(self, name: str, number: int, start: int, end: int) -> None:
+        """Logs a corrupted part of a segment once."""
+        if (number, start) not in self._reported_damage and len(self._reported_damage) < 4096:
+            self._reported_damage.add((number, start))
             say(log, "rot in the backlog", logging.ERROR, file=name, start=start, end=end)
 
     def moved(self, destination: int, count: int) -> None:
-        there = self._there.get(destination)
-        if there is None or count <= 0:
+        """Records that the first documents of the last read(), so many, are in the ledger now."""
+        state = self._states.get(destination)
+        if state is None or count <= 0:
             return
-        given = self._given.get(destination)
-        if given is None:
-            given, _ = self._look(destination, there, count)
-        passed = at = 0
-        given = [each for each in given if each.end > there.place]
-        for at, each in enumerate(given, 1):  # noqa: B007
-            passed += not each.past
+        records = self._last_reads.get(destination)
+        if records is None:
+            records, _ = self._read_waiting(destination, state, count)
+        passed = index = 0
+        records = [each for each in records if each.end > state.position]
+        for index, each in enumerate(records, 1):  # noqa: B007
+            passed += not each.ended
             if passed == count:
                 break
-        while at < len(given) and given[at].past:
-            at += 1
-        self._leave(destination, there, given[:at], False, must=True)
-        if destination in self._there:
-            self._given[destination] = rest = given[at:]
-            left = (each.taken for each in rest if not self._is_past(each.entry, each.where))
-            there.since = next(left, None)
-
-    def _leave(self, destination: int, there: There, given: list[Given], ends: bool, must: bool) -> None:
-        """What waits begins behind these; ends: nothing that can be read comes behind them."""
-        to, ordinal = (given[-1].end, given[-1].ordinal) if given else (there.place, there.ordinal)
-        ahead = there.ahead - sum(self._is_past(each.entry, each.where) for each in given)
-        if ends or ordinal == there.total:
-            ordinal, ends = there.total, True
-        gap = ordinal - there.ordinal - len(given)  # records that could not be read
-        known = min(gap, there.lost)
-        if not (there.rotten or gap) and there.total - ordinal == ahead:
-            ends = True  # all behind it have had their end
-        last = next(reversed(there.segments), 0)
-        if must or ends or to >> 32 != there.place >> 32:
-            words = (0, last, 0) if ends else (to, ordinal, ahead - known)
-            self._manifest.note([Moved(destination, *words)], must)
-        if gap > known:
-            self._gone(destination, there, gap - known)
-        before = there.waiting()
-        self._behind -= ordinal - there.ordinal
-        there.place, there.ordinal, there.ahead = to, ordinal, max(0, ahead - known)
-        there.lost -= known
-        self._count -= before - (0 if ends else there.waiting())
-        for each in given:
-            self._ended.pop(each.where, None)
+        while index < len(records) and records[index].ended:
+            index += 1
+        self._advance(destination, state, records[:index], False, required=True)
+        if destination in self._states:
+            self._last_reads[destination] = remaining = records[index:]
+            taken = (each.taken for each in remaining if not self._has_ended(each.entry, each.position))
+            state.first_taken = next(taken, None)
+
+    def _advance(
+        self,
+        destination: int,
+        state: DestinationState,
+        records: list[ReadRecord],
+        exhausted: bool,
+        required: bool,
+    ) -> None:
+        """Moves the start position past these records; exhausted: no readable record follows them."""
+        position, ordinal = (
+            (records[-1].end, records[-1].ordinal) if records else (state.position, state.ordinal)
+        )
+        ended = state.ended - sum(self._has_ended(each.entry, each.position) for each in records)
+        if exhausted or ordinal == state.total:
+            ordinal, exhausted = state.total, True
+        unreadable = ordinal - state.ordinal - len(records)
+        counted_lost = min(unreadable, state.lost)
+        if not (state.has_losses or unreadable) and state.total - ordinal == ended:
+            exhausted = True  # every record that follows has ended
+        last = next(reversed(state.segments), 0)
+        if required or exhausted or position >> 32 != state.position >> 32:
+            fields = (0, last, 0) if exhausted else (position, ordinal, ended - counted_lost)
+            self._manifest.append([Moved(destination, *fields)], required)
+        if unreadable > counted_lost:
+            self._count_lost(destination, state, unreadable - counted_lost)
+        waiting_before = state.waiting()
+        self._retained_count -= ordinal - state.ordinal
+        state.position, state.ordinal, state.ended = position, ordinal, max(0, ended - counted_lost)
+        state.lost -= counted_lost
+        self._waiting_count -= waiting_before - (0 if exhausted else state.waiting())
+        for each in records:
+            self._ended.pop(each.position, None)
             self._offered.pop(each.id, None)
-        if ends:
-            self._emptied(destination, there)
+        if exhausted:
+            self._remove_destination(destination, state)
             return
-        while (number := next(iter(there.segments))) < to >> 32:
-            self._remove(segment(destination, number), there.segments.pop(number)[1])
+        while (number := next(iter(state.segments))) < position >> 32:
+            self._schedule_removal(segment_name(destination, number), state.segments.pop(number)[1])
 
-    def _gone(self, destination: int, there: There, count: int) -> None:
-        """Their records cannot be read any more."""
-        self.lost, there.rotten = self.lost + count, True
+    def _count_lost(self, destination: int, state: DestinationState, count: int) -> None:
+        """Counts documents whose records are no longer readable."""
+        self.lost, state.has_losses = self.lost + count, True
         say(
             log,
             "documents lost",
             logging.ERROR,
             count=count,
-            offset=there.place & OFFSET,
-            after=segment(destination, there.place >> 32),
+            offset=state.position & OFFSET_MASK,
+            after=segment_name(destination, state.position >> 32),
         )
 
-    def _emptied(self, destination: int, there: There) -> None:
-        """Nothing waits there any more, and that is noted."""
-        self._behind -= there.total - there.ordinal
-        self._close(destination)
-        for number, (_, size) in there.segments.items():
-            self._remove(segment(destination, number), size)
-        for where in [each for each in self._ended if each >> 32 in there.segments]:
-            del self._ended[where]
-        del self._there[destination]
-        self._given.pop(destination, None)
-        if not self._there:
+    def _remove_destination(self, destination: int, state: DestinationState) -> None:
+        """Removes a destination without waiting documents, after the manifest has recorded it."""
+        self._retained_count -= state.total - state.ordinal
+        self._close_segment(destination)
+        for number, (_, size) in state.segments.items():
+            self._schedule_removal(segment_name(destination, number), size)
+        for position in [each for each in self._ended if each >> 32 in state.segments]:
+            del self._ended[position]
+        del self._states[destination]
+        self._last_reads.pop(destination, None)
+        if not self._states:
             self._clear()
 
     def _clear(self) -> None:
-        """Nothing is owed: the runs go, and what was done with them."""
-        self._count = self._behind = 0
-        self._ended, self._ends, self._offered = {}, [], {}
+        """Drops the runs and all ended entries once no document waits."""
+        self._waiting_count = self._retained_count = 0
+        self._ended, self._ended_heap, self._offered = {}, [], {}
         for name in list(self._jobs):
-            self._abandon(name)
-        runs = [*self._index.clear(), *self._rotten.values()]
-        self._rotten = {}
-        self._fresh, self._unmarked = set(), 0
+            self._cancel_job(name)
+        runs = [*self._index.clear(), *self._corrupt_runs.values()]
+        self._corrupt_runs = {}
+        self._unindexed_destinations, self._unindexed_bytes = set(), 0
         if runs:
-            self._manifest.note([Marks([], [], [run.number for run in runs])], must=False)
+            self._manifest.append([Marks([], [], [run.number for run in runs])], required=False)
         for run in runs:
-            self._past.append((run.name, 0))
+            self._obsolete_files.append((run.name, 0))
 
-    def _remove(self, name: str, size: int) -> None:
-        self._past.append((name, blocks(size)))
+    def _schedule_removal(self, name: str, size: int) -> None:
+        self._obsolete_files.append((name, allocated_size(size)))
 
     # Expiry
 
     def due(self, now: float, most: int) -> list[Kept]:
+        """Returns documents that have expired, at most so many; each is returned until it ends or moves."""
         self._now = max(self._now, now)
         found = [kept for _, kept in self._offered.values()][:most]
-        limit = after(now)
+        limit = expiry_limit(now)
         for _ in range(self._sizes.popped):
             top = self._index.top()
             if len(found) >= most or top is None or top >= limit:
                 break
-            if self._counts_time(top):
-                expiry, destination, where = ENTRY.unpack(top)
-                kept = self._at(destination, where)  # OSError: the entry stays
+            if self._time_entry_needed(top):
+                expiry, destination, position = TIME_ENTRY.unpack(top)
+                kept = self._read_document(destination, position)  # on OSError the entry stays in the index
                 if kept is None:
-                    self._lose(top, destination, where)
-                elif at_time(kept.expiry, destination, where) == top and kept.id not in self._offered:
+                    self._end_unreadable(top, destination, position)
+                elif time_entry(kept.expiry, destination, position) == top and kept.id not in self._offered:
                     self._offered[kept.id] = top, kept
                     found.append(kept)
             self._index.pop()
         return found
 
-    def _at(self, destination: int, where: int) -> Kept | None:
-        """The document at a place; None where it cannot be read any more."""
-        name, offset = segment(destination, where >> 32), where & OFFSET
+    def _read_document(self, destination: int, position: int) -> Kept | None:
+        """Returns the document at a position, or None if its record is not readable."""
+        name, offset = segment_name(destination, position >> 32), position & OFFSET_MASK
         try:
-            data = self._folder.read_at(name, offset, ONE)
+            data = self._folder.read_at(name, offset, DOCUMENT_READ_SIZE)
             if framed(data) > len(data):
                 data = self._folder.read_at(name, offset, framed(data))
         except FileNotFoundError:
@@ -519,251 +602,293 @@
         kept = unframe(data)
         return kept if isinstance(kept, Kept) else None
 
-    def _lose(self, entry: bytes, destination: int, where: int) -> None:
-        """Its record does not check: nothing can be said for it any more."""
-        say(log, "document lost", logging.ERROR, file=segment(destination, where >> 32), start=where & OFFSET)
-        there = self._there[destination]
-        there.rotten, there.lost, self.lost = True, there.lost + 1, self.lost + 1
-        self._end([entry])
+    def _end_unreadable(self, entry: bytes, destination: int, position: int) -> None:
+        """Counts a document as lost and ends it: its record is corrupted, so no outcome can be reported."""
+        say(
+            log,
+            "document lost",
+            logging.ERROR,
+            file=segment_name(destination, position >> 32),
+            start=position & OFFSET_MASK,
+        )
+        state = self._states[destination]
+        state.has_losses, state.lost, self.lost = True, state.lost + 1, self.lost + 1
+        self._record_ended([entry])
 
     def ended(self, ids: Iterable[str]) -> None:
+        """Records that these documents ended; ids that are unknown here are ignored."""
         entries = []
         for doc_id in dict.fromkeys(ids):
             entry, _ = self._offered.pop(doc_id, (None, None))
-            entry = entry or self._find(doc_id)
+            entry = entry or self._find_entry(doc_id)
             if entry is not None:
                 entries.append(entry)
         if entries:
-            self._end(entries)
+            self._record_ended(entries)
 
     def drop(self, ids: Iterable[str]) -> None:
-        """After a start: what the sender's own ledger knows of, ended or not, is past here."""
+        """Ends the documents that the sender's ledger holds, ended or not; called after a start."""
         ids = [*ids]
         self.ended(ids)
-        if self._rotten:  # some may have been missed, and would go twice: the index first, however long
-            while self._rotten and self.step():
+        # Without the corrupted runs some documents may not be found, and would be transmitted twice, so the
+        # index is rebuilt first, however long that takes.
+        if self._corrupt_runs:
+            while self._corrupt_runs and self.step():
                 pass
             self.ended(ids)
 
-    def _end(self, entries: list[bytes]) -> None:
+    def _record_ended(self, entries: list[bytes]) -> None:
+        """Records ends in the manifest, and raises the watermark as far as it goes."""
         touched = {}
         for entry in entries:
-            _, destination, where = ENTRY.unpack(entry)
-            there = touched[destination] = self._there[destination]
-            self._ended[where] = entry
-            heapq.heappush(self._ends, entry)
-            self._count -= there.waiting() > 0
-            there.ahead += 1
-            there.since = None
-        tops = [self._index.top() or NEVER, after(self._now), *(entry for entry, _ in self._offered.values())]
-        if not self._rotten:  # else some are in no index, and must not be passed
-            self._mark = max(self._mark, min(tops))
-        while self._ends and self._ends[0] < self._mark:
-            self._ended.pop(ENTRY.unpack(heapq.heappop(self._ends))[2], None)
-        if len(self._ends) > 2 * len(self._ended) + 1024:  # of those that were left behind since
-            self._ends = sorted(self._ended.values())
-        emptied = [each for each, there in touched.items() if not there.waiting() and not there.rotten]
-        over = [Moved(each, 0, next(reversed(touched[each].segments), 0), 0) for each in emptied]
-        self._manifest.note([Ended(entries, self._mark), *over], must=False)
+            _, destination, position = TIME_ENTRY.unpack(entry)
+            state = touched[destination] = self._states[destination]
+            self._ended[position] = entry
+            heapq.heappush(self._ended_heap, entry)
+            self._waiting_count -= state.waiting() > 0
+            state.ended += 1
+            state.first_taken = None
+        limits = [
+            self._index.top() or MAX_ENTRY,
+            expiry_limit(self._now),
+            *(entry for entry, _ in self._offered.values()),
+        ]
+        if not self._corrupt_runs:  # else some waiting documents may be in no run, and must stay above it
+            self._watermark = max(self._watermark, min(limits))
+        while self._ended_heap and self._ended_heap[0] < self._watermark:
+            self._ended.pop(TIME_ENTRY.unpack(heapq.heappop(self._ended_heap))[2], None)
+        if len(self._ended_heap) > 2 * len(self._ended) + 1024:  # many entries are obsolete
+            self._ended_heap = sorted(self._ended.values())
+        emptied = [each for each, state in touched.items() if not state.waiting() and not state.has_losses]
+        moves = [Moved(each, 0, next(reversed(touched[each].segments), 0), 0) for each in emptied]
+        self._manifest.append([Ended(entries, self._watermark), *moves], required=False)
         for each in emptied:
-            self._emptied(each, touched[each])
-        for each, there in touched.items():
-            if there.rotten and not there.waiting() and each in self._there:
-                self._hollow.add(each)
-
-    def _is_past(self, entry: bytes, where: int) -> bool:
-        return entry < self._mark or where in self._ended
-
-    def _counts_time(self, entry: bytes) -> bool:
-        _, destination, where = ENTRY.unpack(entry)
-        there = self._there.get(destination)
-        return there is not None and where >= there.place and entry >= self._mark and where not in self._ended
-
-    def _counts_id(self, entry: bytes) -> bool:
-        _, destination, where = ID.unpack(entry)
-        there = self._there.get(destination)
-        return there is not None and where >= there.place and where not in self._ended
-
-    def _find(self, doc_id: str) -> bytes | None:
-        """The entry by time of the document with this id, if it waits here."""
-        for destination, where in self._index.find(hashed(doc_id)):
-            there = self._there.get(destination)
-            if there is None or where < there.place or where in self._ended:
+            self._remove_destination(each, touched[each])
+        for each, state in touched.items():
+            if state.has_losses and not state.waiting() and each in self._states:
+                self._possibly_empty.add(each)
+
+    def _has_ended(self, entry: bytes, position: int) -> bool:
+        return entry < self._watermark or position in self._ended
+
+    def _time_entry_needed(self, entry: bytes) -> bool:
+        _, destination, position = TIME_ENTRY.unpack(entry)
+        state = self._states.get(destination)
+        return (
+            state is not None
+            and position >= state.position
+            and entry >= self._watermark
+            and position not in self._ended
+        )
+
+    def _id_entry_needed(self, entry: bytes) -> bool:
+        _, destination, position = ID_ENTRY.unpack(entry)
+        state = self._states.get(destination)
+        return state is not None and position >= state.position and position not in self._ended
+
+    def _find_entry(self, doc_id: str) -> bytes | None:
+        """Returns the time entry of the document with this id, or None if it does not wait here."""
+        for destination, position in self._index.find(hash_id(doc_id)):
+            state = self._states.get(destination)
+            if state is None or position < state.position or position in self._ended:
                 continue
-            kept = self._at(destination, where)
+            kept = self._read_document(destination, position)
             if kept is not None and kept.id == doc_id:
-                entry = at_time(kept.expiry, destination, where)
-                if not self._is_past(entry, where):
+                entry = time_entry(kept.expiry, destination, position)
+                if not self._has_ended(entry, position):
                     return entry
         return None
 
-    # Housekeeping, a bounded piece at a step
+    # Housekeeping: a bounded amount of work at each step
 
     def step(self) -> bool:
-        """True while more is due. Where the disk refuses, the piece is tried again in a later step."""
+        """Does a bounded piece of housekeeping; returns whether more is due.
+
+        A piece that fails with an OSError is tried again in a later step.
+        """
         try:
-            more, self._ill = self._step(), False
+            more, self._step_failed = self._step(), False
         except OSError as problem:
-            if not self._ill:
+            if not self._step_failed:
                 say(log, "housekeeping put off", logging.ERROR, problem=problem)
-            more, self._ill = False, True
+            more, self._step_failed = False, True
         return more
 
     def _step(self) -> bool:
-        if self._manifest.late:
-            self._manifest.note([], must=True)
-        if self._manifest.grown():
-            self._snapshot()
+        if self._manifest.pending_bytes:
+            self._manifest.append([], required=True)
+        if self._manifest.needs_snapshot():
+            self._write_snapshot()
             return True
-        if self._past:
-            for _ in range(min(REMOVED, len(self._past))):
-                name, size = self._past[0]
+        if self._obsolete_files:
+            for _ in range(min(REMOVALS_PER_STEP, len(self._obsolete_files))):
+                name, size = self._obsolete_files[0]
                 with contextlib.suppress(FileNotFoundError):
                     self._folder.unlink(name)
-                self._past.popleft()
-                self._used -= size
-            self._manifest.reserve()
+                self._obsolete_files.popleft()
+                self._used_bytes -= size
+            self._manifest.reserve_ballast()
             return True
-        for destination in [*self._hollow][:1]:
-            if (there := self._there.get(destination)) and not there.waiting():
-                self._look(destination, there, 1)
-            if there is None or there.waiting() or destination not in self._there:
-                self._hollow.discard(destination)
+        for destination in [*self._possibly_empty][:1]:
+            if (state := self._states.get(destination)) and not state.waiting():
+                self._read_waiting(destination, state, 1)
+            if state is None or state.waiting() or destination not in self._states:
+                self._possibly_empty.discard(destination)
             return True
         index = self._index
-        full = index.frozen or index.wants_flush() or self._unmarked > self._sizes.unmarked
-        if full and "flush" not in self._jobs:
+        flush_needed = index.frozen or index.wants_flush() or self._unindexed_bytes > self._sizes.unmarked
+        if flush_needed and "flush" not in self._jobs:
             self._jobs["flush"] = self._flush()
-        if self._rotten and "again" not in self._jobs:
+        if self._corrupt_runs and "rebuild" not in self._jobs:
             if "merge" in self._jobs:
-                self._abandon("merge")
-            self._jobs["again"] = self._reindex()
-        needed = {IDS: self._behind, TIMES: self._count}
-        if not self._jobs.keys() & {"merge", "again"} and (runs := index.merging(needed)):
+                self._cancel_job("merge")
+            self._jobs["rebuild"] = self._rebuild_index()
+        needed = {IDS: self._retained_count, TIMES: self._waiting_count}
+        if not self._jobs.keys() & {"merge", "rebuild"} and (runs := index.runs_to_merge(needed)):
             self._jobs["merge"] = self._merge(runs)
-        for name in ("flush", "again", "merge"):
+        for name in ("flush", "rebuild", "merge"):
             if name in self._jobs:
                 job = self._jobs[name]
                 try:
                     next(job)
                 except StopIteration:
                     self._jobs.pop(name, None)
-                except Rot as problem:
-                    self._abandon(name)
-                    self._rot(problem)
+                except CorruptionError as problem:
+                    self._cancel_job(name)
+                    self._report_corrupt_run(problem)
                 except OSError:
-                    self._abandon(name)
+                    self._cancel_job(name)
                     raise
                 return True
-        return bool(self._past)
+        return bool(self._obsolete_files)
 
-    def _abandon(self, name: str) -> None:
+    def _cancel_job(self, name: str) -> None:
         self._jobs.pop(name).close()
-        self._past.extend((each, 0) for each in self._index.making.pop(name, ()))
+        self._obsolete_files.extend((each, 0) for each in self._index.unfinished_files.pop(name, ()))
 
     def _flush(self) -> Generator[None, None, None]:
+        """Writes the entries held in memory to runs, and records the checkpoints that these reach."""
         index = self._index
         if index.frozen is None:
             index.freeze()
-            self._frozen = []
-            for destination in self._fresh:
-                if (there := self._there.get(destination)) is not None and there.segments:
-                    number = next(reversed(there.segments))
-                    self._frozen.append((destination, there, number, there.segments[number][1], there.total))
-            self._fresh, self._unmarked = set(), 0
+            self._flush_checkpoints = []
+            for destination in self._unindexed_destinations:
+                if (state := self._states.get(destination)) is not None and state.segments:
+                    number = next(reversed(state.segments))
+                    self._flush_checkpoints.append(
+                        (destination, state, number, state.segments[number][1], state.total)
+                    )
+            self._unindexed_destinations, self._unindexed_bytes = set(), 0
 
         def record(added: list[Run], removed: list[Run]) -> None:
             marks = []
-            for destination, there, number, size, total in self._frozen:
-                if self._there.get(destination) is there:
-                    mine = []
-                    for each in reversed(there.segments):
-                        if each < there.marked[0] >> 32:
+            for destination, state, number, size, total in self._flush_checkpoints:
+                if self._states.get(destination) is state:
+                    own_marks = []
+                    for each in reversed(state.segments):
+                        if each < state.checkpoint[0] >> 32:
                             break
                         if each <= number:
-                            told = (size, total) if each == number else (0, 0)
-                            mine.append((destination, each, there.segments[each][0], *told))
-                    marks += reversed(mine)
-            self._manifest.note([Marks(marks, added, [run.number for run in removed])], must=True)
-            for _, there, number, size, total in self._frozen:
-                there.marked = place(number, size), total
+                            reached = (size, total) if each == number else (0, 0)
+                            own_marks.append((destination, each, state.segments[each][0], *reached))
+                    marks += reversed(own_marks)
+            self._manifest.append([Marks(marks, added, [run.number for run in removed])], required=True)
+            for _, state, number, size, total in self._flush_checkpoints:
+                state.checkpoint = pack_position(number, size), total
 
-        yield from index.flush(lambda: self._mark, record)
-        self._flushed += 1
+        yield from index.flush(lambda: self._watermark, record)
+        self._flush_count += 1
 
     def _merge(self, runs: list[Run]) -> Generator[None, None, None]:
         def record(added: list[Run], removed: list[Run]) -> None:
-            self._manifest.note([Marks([], added, [run.number for run in removed])], must=True)
+            self._manifest.append([Marks([], added, [run.number for run in removed])], required=True)
 
-        for run in (yield from self._index.merge(runs, lambda: self._mark, record)):
-            self._past.append((run.name, 0))
+        for run in (yield from self._index.merge(runs, lambda: self._watermark, record)):
+            self._obsolete_files.append((run.name, 0))
 
-    def _rot(self, problem: Rot) -> None:
-        if problem.run.number not in self._rotten:
+    def _report_corrupt_run(self, problem: CorruptionError) -> None:
+        """Logs a corrupted run once, and has it rebuilt."""
+        if problem.run.number not in self._corrupt_runs:
             say(log, "rot in an index; it is made anew", logging.ERROR, at=problem)
-            self._rotten[problem.run.number] = problem.run
-
-    def _reindex(self) -> Generator[None, None, None]:
-        """Reads all that is owed once, a little at a step, enters it again, and drops the runs there were; a
-        document that is entered twice does no harm."""
-        index, old = self._index, {**self._index.runs, **self._rotten}
-        for destination, there in list(self._there.items()):
-            at, more = there.place, True
-            while more and self._there.get(destination) is there:
-                seen, more = 0, False
-                rest = There(
-                    place=max(at, there.place),
-                    segments={each: [*words] for each, words in there.segments.items() if each >= at >> 32},
+            self._corrupt_runs[problem.run.number] = problem.run
+
+    def _rebuild_index(self) -> Generator[None, None, None]:
+        """Indexes all retained records again, a few at a step, and then drops the old runs.
+
+        A document that is indexed twice does no harm.
+        """
+        index = self._index
+        old = {**self._index.runs, **self._corrupt_runs}
+        for destination, state in list(self._states.items()):
+            position, more = state.position, True
+            while more and self._states.get(destination) is state:
+                scanned, more = 0, False
+                remaining = DestinationState(
+                    position=max(position, state.position),
+                    segments={
+                        each: [*fields] for each, fields in state.segments.items() if each >= position >> 32
+                    },
                 )
-                for where, end, _, kept in self._scan(destination, rest):
-                    at, seen = end, seen + 1
-                    entry = at_time(kept.expiry, destination, where)
-                    if not self._is_past(entry, where):
-                        index.tail.add(hashed(kept.id), entry)
-                    if seen >= self._sizes.popped // 8:
+                for begin, end, _, kept in self._scan(destination, remaining):
+                    position, scanned = end, scanned + 1
+                    entry = time_entry(kept.expiry, destination, begin)
+                    if not self._has_ended(entry, begin):
+                        index.memtable.add(hash_id(kept.id), entry)
+                    if scanned >= self._sizes.popped // 8:
                         more = True
                         break
                 yield
                 while index.wants_flush():
                     yield
-        until = self._flushed + 2  # the first may have been frozen before
-        while self._flushed < until:
-            self._unmarked = max(self._unmarked, self._sizes.unmarked + 1)
+        until = self._flush_count + 2  # the first flush may be of entries frozen before the rebuild
+        while self._flush_count < until:
+            self._unindexed_bytes = max(self._unindexed_bytes, self._sizes.unmarked + 1)
             yield
-        index.drop([*old.values()], lambda: self._manifest.note([Marks([], [], [*old])], must=True))
-        self._past.extend((run.name, 0) for run in old.values())
-        self._rotten = {number: run for number, run in self._rotten.items() if number not in old}
+        index.drop([*old.values()], lambda: self._manifest.append([Marks([], [], [*old])], required=True))
+        self._obsolete_files.extend((run.name, 0) for run in old.values())
+        self._corrupt_runs = {number: run for number, run in self._corrupt_runs.items() if number not in old}
 
-    def _snapshot(self) -> None:
-        states = [
+    def _write_snapshot(self) -> None:
+        """Begins a new manifest file with the present state."""
+        rows = [
             (
                 destination,
-                there.place,
-                there.ordinal,
-                there.ahead,
-                *there.marked,
-                [(number, start) for number, (start, _) in there.segments.items()],
+                state.position,
+                state.ordinal,
+                state.ended,
+                *state.checkpoint,
+                [(number, start) for number, (start, _) in state.segments.items()],
             )
-            for destination, there in self._there.items()
+            for destination, state in self._states.items()
         ]
-        records: list[Record] = [State(states[at : at + STATES]) for at in range(0, len(states), STATES)]
-        records.append(Marks([], list({**self._rotten, **self._index.runs}.values()), []))
-        ended = [entry for where, entry in self._ended.items()]
+        records: list[Record] = [
+            State(rows[first : first + DESTINATIONS_PER_STATE])
+            for first in range(0, len(rows), DESTINATIONS_PER_STATE)
+        ]
+        records.append(Marks([], list({**self._corrupt_runs, **self._index.runs}.values()), []))
+        ended = [entry for position, entry in self._ended.items()]
         old = self._manifest.name
-        records.append(Whole(self._number + 1, self._mark, ended, [name for name, _ in self._past]))
-        old = self._manifest.snapshot(records)
+        records.append(
+            Whole(
+                self._last_number + 1,
+                self._watermark,
+                ended,
+                [name for name, _ in self._obsolete_files],
+            )
+        )
+        old = self._manifest.write_snapshot(records)
         if old:
-            self._past.append((old, 0))
+            self._obsolete_files.append((old, 0))
 
     def close(self) -> None:
-        """Where nothing is owed, nothing is left."""
+        """Closes the files, and removes them all if no document waits."""
         for name in list(self._jobs):
-            self._abandon(name)
+            self._cancel_job(name)
         for destination in list(self._handles):
-            self._close(destination)
-        if not self._there:
+            self._close_segment(destination)
+        if not self._states:
             self._clear()
-            for name, _ in self._past:
+            for name, _ in self._obsolete_files:
                 with contextlib.suppress(OSError):
                     self._folder.unlink(name)
-        self._manifest.close(remove=not self._there)
+        self._manifest.close(remove=not self._states)
--- a/birchstack/ledger/__init__.py
+++ b/birchstack/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger at scale: a segmented log of what is owed. See docs/notes/ledger.md; not switched on yet."""
+"""The segmented ledger: a log of accepted documents in segments. See docs/notes/ledger.md; not in use yet."""
--- a/birchstack/ledger/plan.py
+++ b/birchstack/ledger/plan.py
@@ -1,13 +1,13 @@
-"""What the segmented ledger does next: when a segment is full, which one is copied, what room is kept for it.
+"""Planning of the segmented ledger: when a segment is full, which one is compacted, what room that needs.
 
 Owns the account of bytes by segment and the choices that follow from it. Must never touch a file, a clock or
-a record: the folder writes, and tells here what it wrote and what is past. Sizes are bytes; a segment counts
-in whole blocks, as the folder's limit does.
+a record: the caller writes, and reports here what it wrote and what is no longer needed. Sizes are in bytes;
+a segment counts in whole blocks, like the folder's limit.
 
-Compaction copies what is still needed of a sealed segment to the end of the log, a few records a step, and
-then removes the segment. It needs room for those bytes before it gives any back, so that room is never given
-to documents: `fits` keeps free what the segment with most still needed in it would take, and one head more.
-With that, compaction can always finish, however full the folder is.
+Compaction copies the records of a sealed segment that are still needed to the end of the log, a few at a
+step, and then removes the segment. It needs room for those bytes before it frees any, so that room is never
+given to documents: `fits` keeps free what the segment with the most needed bytes would take, and one more
+segment header. Hence compaction can always finish, however full the folder is.
 """
 
 from __future__ import annotations
@@ -16,62 +16,69 @@
 
 from birchstack.ledger.records import HEAD
 
-BLOCK = 512
-MOSTLY_PAST = 0.5  # a segment is copied once no more than this share of it is needed
+BLOCK_SIZE = 512  # bytes
+MAX_COMPACTION_SHARE = 0.5  # a segment is compacted once at most this share of its bytes is needed
 
 
 @dataclass(slots=True)
 class Segment:
-    """written: its length; needed: the bytes of records that still count."""
+    """Byte counts of a segment. written: its length; needed: the length of the records still needed."""
 
     written: int = HEAD.size
     needed: int = 0
 
     @property
     def blocks(self) -> int:
-        return -(-self.written // BLOCK) * BLOCK
+        """The length rounded up to whole blocks, in bytes."""
+        return -(-self.written // BLOCK_SIZE) * BLOCK_SIZE
 
 
 @dataclass(slots=True)
 class Amplification:
-    """What compaction costs: bytes written for each byte appended, and bytes kept for each byte needed."""
+    """Write and space amplification: bytes written per byte appended, and bytes stored per byte needed."""
 
     writes: float
     space: float
 
 
 class Plan:
-    """The account. Numbers of segments only grow; the last one is written to, the others are sealed."""
+    """The account of segments.
+
+    Segment numbers only grow; the last segment is appended to, the others are sealed.
+    """
 
     def __init__(self, limit: int, most: int) -> None:
-        """limit: of the folder; most: a segment is sealed once it would grow beyond this."""
+        """limit: of the folder. most: a segment is sealed before it grows beyond this."""
         if most <= HEAD.size or limit < 4 * most:
             raise ValueError(f"a limit of {limit} bytes is less than four segments of {most}")
-        self._limit, self._most = limit, most
+        self._limit = limit
+        self._segment_limit = most
         self.segments: dict[int, Segment] = {}
         self._appended = self._copied = 0
-        self.victim: int | None = None  # the segment that is being copied
+        self.victim: int | None = None  # the segment being compacted
 
     @property
     def last(self) -> int:
-        """The segment that is written to; 0 before the first."""
+        """The number of the segment that is appended to; 0 if there is none."""
         return next(reversed(self.segments), 0)
 
     def used(self) -> int:
+        """Returns the bytes of all segments, in whole blocks."""
         return sum(each.blocks for each in self.segments.values())
 
     def needed(self) -> int:
+        """Returns the bytes of all records still needed."""
         return sum(each.needed for each in self.segments.values())
 
-    # What is told
+    # Reports of the caller
 
     def opened(self, number: int, written: int = HEAD.size) -> None:
-        """A segment was begun, or found at the start."""
-        assert number > self.last, "numbers of segments grow"
+        """A segment was created, or found at a start."""
+        assert number > self.last, "segment numbers must grow"
         self.segments[number] = Segment(written)
 
     def wrote(self, size: int, needed: bool, copied: bool = False) -> int:
-        """A record was appended to the last segment; returns its number, for past() later."""
+        """A record was appended to the last segment; returns its number, for a later call of past()."""
         segment = self.segments[self.last]
         segment.written += size
         segment.needed += size if needed else 0
@@ -82,59 +89,67 @@
         return self.last
 
     def past(self, number: int, size: int) -> None:
-        """A record there is needed no more: its document is done, or it was copied on."""
+        """A record of a segment is no longer needed: its document is done, or the record was copied."""
         segment = self.segments[number]
-        assert segment.needed >= size, "no more is past than was needed"
+        assert segment.needed >= size, "more bytes reported as past than were needed"
         segment.needed -= size
 
     def removed(self, number: int) -> None:
-        assert not self.segments[number].needed, "a segment that goes is needed by nothing"
+        """A segment was removed."""
+        assert not self.segments[number].needed, "a removed segment must have no needed records"
         del self.segments[number]
         if number == self.victim:
             self.victim = None
 
-    # What is asked
+    # Queries
 
     def rolls(self, size: int) -> bool:
-        """Whether a record needs a new segment. One longer than a segment gets one of its own."""
+        """Returns whether a record needs a new segment. One longer than a segment gets its own."""
         if not self.segments:
             return True
         written = self.segments[self.last].written
-        return written > HEAD.size and written + size > self._most
+        return written > HEAD.size and written + size > self._segment_limit
 
     def reserve(self) -> int:
-        """Kept free for compaction: the most that one segment needs, in blocks, and a new head."""
+        """Returns the room reserved for compaction: the most needed bytes of a segment, and a new header."""
         most = max((each.needed for each in self.segments.values()), default=0)
-        return -(-(most + 2 * HEAD.size) // BLOCK) * BLOCK + BLOCK
+        return -(-(most + 2 * HEAD.size) // BLOCK_SIZE) * BLOCK_SIZE + BLOCK_SIZE
 
     def fits(self, size: int) -> bool:
-        """Whether records of so many bytes may be taken on, with all that their documents may still write."""
-        head = HEAD.size + BLOCK if self.rolls(size) else BLOCK
-        grown = max(0, size - max((each.needed for each in self.segments.values()), default=0))
-        return self.used() + size + head + self.reserve() + grown <= self._limit
+        """Returns whether there is room for records of this size.
+
+        The size must include every record that their documents may still need.
+        """
+        header = HEAD.size + BLOCK_SIZE if self.rolls(size) else BLOCK_SIZE
+        reserve_growth = max(0, size - max((each.needed for each in self.segments.values()), default=0))
+        return self.used() + size + header + self.reserve() + reserve_growth <= self._limit
 
     def next(self) -> int | None:
-        """The segment to copy from now, a step at a time; None while nothing is worth it.
+        """Returns the segment to compact now, a step at a time, or None if none is worth it.
 
-        One that was begun is gone on with. Else the sealed segment with the least share needed, if it is
-        mostly past; under pressure (less than a segment left beside what is kept free) even if it is not.
+        A segment whose compaction has begun comes first. Otherwise it is the sealed segment with the smallest
+        needed share, if that is small; with less than a segment free beside the reserve, even if it is not.
         """
         if self.victim is None:
             sealed = [number for number in self.segments if number != self.last]
             if not sealed:
                 return None
-            best = min(sealed, key=lambda number: (self._share(number), number))
-            pressed = self.used() + self.reserve() + self._most > self._limit
-            if self._share(best) <= MOSTLY_PAST or pressed and self._share(best) < 1.0 - BLOCK / self._most:
+            best = min(sealed, key=lambda number: (self._needed_share(number), number))
+            nearly_full = self.used() + self.reserve() + self._segment_limit > self._limit
+            if (
+                self._needed_share(best) <= MAX_COMPACTION_SHARE
+                or nearly_full
+                and self._needed_share(best) < 1.0 - BLOCK_SIZE / self._segment_limit
+            ):
                 self.victim = best
         return self.victim
 
-    def _share(self, number: int) -> float:
+    def _needed_share(self, number: int) -> float:
         segment = self.segments[number]
         return segment.needed / max(1, segment.written - HEAD.size)
 
     def amplification(self) -> Amplification:
-        """Since the plan was made."""
+        """Returns the amplification since the plan was created."""
         return Amplification(
             (self._appended + self._copied) / max(1, self._appended), self.used() / max(1, self.needed())
         )
--- a/birchstack/ledger/records.py
+++ b/birchstack/ledger/records.py
@@ -1,18 +1,18 @@
-"""Records of the segmented ledger: values to bytes and back, and what a damaged segment still holds.
+"""Records of the segmented ledger and of the backlog: encoding, decoding, and recovery of damaged segments.
 
-Owns the format: the head of a segment, the frame of a record, their sums. Must never touch a file or know
-what follows from a record. The scanner is fed pieces of a segment in order and keeps one record at most.
+Owns the format: the header of a segment, the frame of a record, their checksums. Must never touch a file or
+know what follows from a record. The scanner is fed pieces of a segment in order and holds at most one record.
 
 Format, version 1, little-endian:
 
-    segment  = head record*
-    head     = "BSLG" version:u16 0:u16 number:u64 sum:u32          sum: CRC-32C of what is before it
-    record   = B5 1C length:u32 sum:u32 payload                     sum: CRC-32C of length and payload
-    payload  = MessagePack array [kind, id, ...]                    kinds and their words: the classes here
+    segment  = header record*
+    header   = "BSLG" version:u16 0:u16 number:u64 checksum:u32     checksum: CRC-32C of the bytes before it
+    record   = B5 1C length:u32 checksum:u32 payload                checksum: CRC-32C of length and payload
+    payload  = MessagePack array [kind, id, ...]                    kinds and their fields: the classes here
 
-A record that does not check is damage. Where a record that checks comes behind it, the damage lies in the
-middle of the segment (rot: something that was written is no more); where none comes, it is the tail that a
-process left when it was ended (normal). The marks let the scanner find what comes behind.
+Bytes that are no valid record are damage. If a valid record follows, the damage is corruption in the middle
+of the segment: something that was written is lost. If none follows, it is the torn tail that a killed process
+leaves, which is normal. Every record begins with the marker B5 1C, by which the scanner finds the next one.
 """
 
 from __future__ import annotations
@@ -23,15 +23,19 @@
 import google_crc32c
 import msgspec
 
-MAGIC, VERSION = b"BSLG", 1
-HEAD = struct.Struct("<4sHHQI")
-FRAME = struct.Struct("<2sII")
-MARK = b"\xb5\x1c"
-MOST = 16 << 20  # a longer record is no record
+MAGIC = b"BSLG"
+VERSION = 1
+HEAD = struct.Struct("<4sHHQI")  # the header of a segment: magic, version, 0, number, checksum
+FRAME = struct.Struct("<2sII")  # the frame before a payload: marker, length, checksum
+MARKER = b"\xb5\x1c"
+MAX_PAYLOAD_SIZE = 16 << 20  # bytes; a greater length is taken as damage
 
 
 class Take(msgspec.Struct, array_like=True, tag_field="kind", tag="t", frozen=True):
-    """A document is taken on. expiry: lasting clock, milliseconds. body: None where it lies aside."""
+    """A document was accepted.
+
+    expiry: in milliseconds of the clock that survives restarts. body: None if it is stored in its own file.
+    """
 
     id: str
     type: str
@@ -43,7 +47,7 @@
 
 
 class Call(msgspec.Struct, array_like=True, tag_field="kind", tag="c", frozen=True):
-    """A transmission is about to leave."""
+    """A transmission is about to be written to its connection."""
 
     id: str
     zone: str
@@ -51,7 +55,7 @@
 
 
 class Back(msgspec.Struct, array_like=True, tag_field="kind", tag="b", frozen=True):
-    """Its outcome came."""
+    """The outcome of a transmission arrived. doubt: whether the document may have run."""
 
     id: str
     doubt: bool
@@ -59,7 +63,7 @@
 
 
 class Past(msgspec.Struct, array_like=True, tag_field="kind", tag="p", frozen=True):
-    """What led to the present of a document that was copied: in place of its calls and backs."""
+    """The history of a copied document, in place of its Call and Back records."""
 
     id: str
     sent: int
@@ -69,7 +73,7 @@
 
 
 class Notice(msgspec.Struct, array_like=True, tag_field="kind", tag="n", frozen=True):
-    """It ended undelivered; the platform is to be told."""
+    """A document ended undelivered; the platform is to be notified."""
 
     id: str
     result: str
@@ -77,13 +81,16 @@
 
 
 class Done(msgspec.Struct, array_like=True, tag_field="kind", tag="d", frozen=True):
-    """Nothing more is owed."""
+    """A document is done: nothing more has to be sent for it."""
 
     id: str
 
 
 class Kept(msgspec.Struct, array_like=True, tag_field="kind", tag="k", frozen=True):
-    """A document of the backlog, whole and untried. expiry, taken: lasting clock, milliseconds."""
+    """A complete document of the backlog, not transmitted yet.
+
+    expiry and taken (when it was accepted): in milliseconds of the clock that survives restarts.
+    """
 
     id: str
     type: str
@@ -97,20 +104,23 @@
 
 
 class Page(msgspec.Struct, array_like=True, tag_field="kind", tag="g", frozen=True):
-    """Entries of a sorted run, one behind the other (birchstack.backlog.plan)."""
+    """Consecutive entries of a sorted run (birchstack.backlog.plan)."""
 
     entries: bytes
 
 
 class Bits(msgspec.Struct, array_like=True, tag_field="kind", tag="f", frozen=True):
-    """A piece of the filter of a run."""
+    """A piece of the Bloom filter of a run."""
 
     piece: bytes
 
 
 class Marks(msgspec.Struct, array_like=True, tag_field="kind", tag="m", frozen=True):
-    """All documents up to these marks are in runs: (destination, segment, documents before the segment,
-    offset, documents before the offset). added, removed: runs (plan.Run)."""
+    """Checkpoints of the index: all documents before them are in runs.
+
+    marks: destination, segment, documents before the segment, offset, documents before the offset. added:
+    runs (birchstack.backlog.plan.Run). removed: numbers of runs.
+    """
 
     marks: list[tuple[int, int, int, int, int]]
     added: list[tuple[str, int, int, int, int]]
@@ -118,8 +128,11 @@
 
 
 class Moved(msgspec.Struct, array_like=True, tag_field="kind", tag="v", frozen=True):
-    """A destination's backlog begins at a place now; ordinal: documents before it; ahead: of those behind it,
-    ended. place 0: nothing is left up to segment `ordinal`."""
+    """The waiting documents of a destination begin at a new position.
+
+    place: the position. ordinal: documents before it. ahead: ended documents from it on. With place 0 nothing
+    is left in the segments up to number `ordinal`.
+    """
 
     destination: int
     place: int
@@ -128,22 +141,32 @@
 
 
 class Ended(msgspec.Struct, array_like=True, tag_field="kind", tag="e", frozen=True):
-    """Documents in the backlog have had their end, by (expiry, destination, place); and all before `mark`."""
+    """Documents of the backlog ended.
+
+    entries: their time entries (expiry, destination, position). mark: the watermark; the documents of all
+    entries below it have ended.
+    """
 
     entries: list[bytes]
     mark: bytes
 
 
 class State(msgspec.Struct, array_like=True, tag_field="kind", tag="s", frozen=True):
-    """Part of a snapshot: (destination, place, ordinal, ahead, marked place, documents before it, segments as
-    number and documents before each)."""
+    """Part of a snapshot: the states of some destinations.
+
+    Each has destination, position, ordinal, ended documents from the position on, position of the checkpoint,
+    documents before that, and the segments with number and documents before each.
+    """
 
     destinations: list[tuple[int, int, int, int, int, int, list[tuple[int, int]]]]
 
 
 class Whole(msgspec.Struct, array_like=True, tag_field="kind", tag="w", frozen=True):
-    """The snapshot is whole. next: number of the next file; past: names of files that only wait for their
-    removal."""
+    """The end of a snapshot.
+
+    next: number of the next file. mark: the watermark. ended: time entries from the watermark on that ended.
+    past: names of obsolete files that are still to be removed.
+    """
 
     next: int
     mark: bytes
@@ -156,50 +179,52 @@
 )
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Record).decode
-_sum = google_crc32c.value
-_extend = google_crc32c.extend
+_crc32c = google_crc32c.value
+_extend_crc32c = google_crc32c.extend
 
 
 class HeadError(Exception):
-    """The file is no segment of a version that is known here; says which."""
+    """The data is no segment header of a known version; the message says why."""
 
 
 def head(number: int) -> bytes:
-    """The first bytes of a segment."""
-    plain = HEAD.pack(MAGIC, VERSION, 0, number, 0)[:-4]
-    return plain + struct.pack("<I", _sum(plain))
+    """Returns the header of a segment."""
+    fields = HEAD.pack(MAGIC, VERSION, 0, number, 0)[:-4]
+    return fields + struct.pack("<I", _crc32c(fields))
 
 
 def read_head(data: bytes) -> int:
-    """The number of a segment, from its first HEAD.size bytes."""
+    """Returns the number of a segment from its first HEAD.size bytes."""
     if len(data) < HEAD.size:
-        raise HeadError(f"{len(data)} bytes are no head of a segment")
-    magic, version, _, number, told = HEAD.unpack(data[: HEAD.size])
+        raise HeadError(f"segment header truncated: got {len(data)} bytes of {HEAD.size}")
+    magic, version, _, number, checksum = HEAD.unpack(data[: HEAD.size])
     if magic != MAGIC:
-        raise HeadError(f"begins with {magic!r}, not {MAGIC!r}")
-    if _sum(data[: HEAD.size - 4]) != told:
-        raise HeadError("its head does not check")
+        raise HeadError(f"segment begins with {magic!r}, not {MAGIC!r}")
+    if _crc32c(data[: HEAD.size - 4]) != checksum:
+        raise HeadError("segment header has a wrong checksum")
     if version != VERSION:
-        raise HeadError(f"version {version}; this program knows {VERSION}")
+        raise HeadError(f"segment has version {version}; only version {VERSION} is supported")
     return number
 
 
 def frame(record: Record) -> bytes:
-    """One record as it is written."""
+    """Returns a record as it is written."""
     payload = _encode(record)
     length = len(payload)
-    return FRAME.pack(MARK, length, _extend(_sum(length.to_bytes(4, "little")), payload)) + payload
+    return (
+        FRAME.pack(MARKER, length, _extend_crc32c(_crc32c(length.to_bytes(4, "little")), payload)) + payload
+    )
 
 
 def unframe(data: bytes) -> Record | None:
-    """The record that these bytes begin with; None where none does, whole and checked."""
+    """Returns the record at the beginning of the data, or None if there is no complete, valid one."""
     if len(data) < FRAME.size:
         return None
-    mark, length, told = FRAME.unpack_from(data)
+    marker, length, checksum = FRAME.unpack_from(data)
     payload = data[FRAME.size : FRAME.size + length]
-    if mark != MARK or length > MOST or len(payload) < length:
+    if marker != MARKER or length > MAX_PAYLOAD_SIZE or len(payload) < length:
         return None
-    if _extend(_sum(length.to_bytes(4, "little")), payload) != told:
+    if _extend_crc32c(_crc32c(length.to_bytes(4, "little")), payload) != checksum:
         return None
     try:
         return _decode(payload)
@@ -208,15 +233,15 @@
 
 
 def framed(data: bytes) -> int:
-    """How long the record is that these bytes seem to begin with; 0 where none does."""
+    """Returns the length of the record whose frame begins the data, unchecked; 0 if none does."""
     if len(data) < FRAME.size:
         return 0
-    mark, length, _ = FRAME.unpack_from(data)
-    return FRAME.size + length if mark == MARK and length <= MOST else 0
+    marker, length, _ = FRAME.unpack_from(data)
+    return FRAME.size + length if marker == MARKER and length <= MAX_PAYLOAD_SIZE else 0
 
 
 class Damage(msgspec.Struct, frozen=True):
-    """Bytes from start up to end that are no record. rot: a record that checks comes behind them."""
+    """Bytes from start up to end that are no valid record. rot: whether a valid record follows them."""
 
     start: int
     end: int
@@ -224,69 +249,80 @@
 
 
 class Scanner:
-    """Fed a segment in pieces, its head left out; tells (offset, record) and, at the end, the damages.
+    """Finds the records of a segment that is fed in pieces, without its header.
 
-    At most one record and one piece are held. Offsets count from the start of the segment; a scan may begin
-    at any record's (at). past: the offset behind the record last told."""
+    Yields (offset, record); damages is complete after end(). Holds at most one record and one piece. Offsets
+    count from the start of the segment; a scan may begin at the offset of any record. past is the offset
+    after the last record that was yielded.
+    """
 
     def __init__(self, number: int, at: int = HEAD.size) -> None:
-        self.number, self.damages, self.past = number, [], at
-        self._held, self._at = bytearray(), at  # _at: the offset of what is held
-        self._bad: int | None = None  # where the present damage begins
+        self.number = number
+        self.damages = []
+        self.past = at
+        self._buffer = bytearray()
+        self._offset = at  # of the buffer's first byte
+        self._damage_start: int | None = None  # of the damage that has not ended yet
 
     def feed(self, data: bytes) -> Iterator[tuple[int, Record]]:
-        self._held += data
+        """Yields the records that are complete with this piece."""
+        self._buffer += data
         yield from self._records(last=False)
 
     def end(self) -> Iterator[tuple[int, Record]]:
-        """The segment is over; afterwards damages is complete."""
+        """Ends the segment: yields the last records and completes damages."""
         yield from self._records(last=True)
-        if self._held and self._bad is None:
-            self._bad = self._at
-        if self._bad is not None:
-            self.damages.append(Damage(self._bad, self._at + len(self._held), rot=False))
-        self._held.clear()
+        if self._buffer and self._damage_start is None:
+            self._damage_start = self._offset
+        if self._damage_start is not None:
+            self.damages.append(Damage(self._damage_start, self._offset + len(self._buffer), rot=False))
+        self._buffer.clear()
 
     def _records(self, last: bool) -> Iterator[tuple[int, Record]]:
         position = 0
-        while (found := self._one(position, last)) is not None:
+        while (found := self._record_at(position, last)) is not None:
             length, record = found
-            if record is None:  # no record begins here
-                self._bad = self._at + position if self._bad is None else self._bad
-                there = self._held.find(MARK, position + 1)
-                if there < 0:  # the last byte may be half a mark
-                    half = self._held[-1:] == MARK[:1] and position + 1 < len(self._held)
-                    position = len(self._held) - half
+            if record is None:  # no valid record begins here
+                self._damage_start = (
+                    self._offset + position if self._damage_start is None else self._damage_start
+                )
+                next_marker = self._buffer.find(MARKER, position + 1)
+                if next_marker < 0:  # the last byte may be the first half of a marker
+                    half = self._buffer[-1:] == MARKER[:1] and position + 1 < len(self._buffer)
+                    position = len(self._buffer) - half
                     break
-                position = there
+                position = next_marker
                 continue
-            if self._bad is not None:
-                self.damages.append(Damage(self._bad, self._at + position, rot=True))
-                self._bad = None
-            self.past = self._at + position + length
-            yield self._at + position, record
+            if self._damage_start is not None:
+                self.damages.append(Damage(self._damage_start, self._offset + position, rot=True))
+                self._damage_start = None
+            self.past = self._offset + position + length
+            yield self._offset + position, record
             position += length
-        self._at += position
-        del self._held[:position]
+        self._offset += position
+        del self._buffer[:position]
+
+    def _record_at(self, position: int, last: bool) -> tuple[int, Record | None] | None:
+        """Returns the length and the record at a position in the buffer.
 
-    def _one(self, position: int, last: bool) -> tuple[int, Record | None] | None:
-        """The record at a position and its length; (0, None) for none; None where more bytes are needed."""
-        left = len(self._held) - position
-        if not left:
+        Returns (0, None) if no valid record begins there, and None if more bytes are needed to tell.
+        """
+        available = len(self._buffer) - position
+        if not available:
             return None
-        if left < FRAME.size:
-            whole = self._held[position : position + 2] == MARK[: min(2, left)]
-            return None if whole and not last else (0, None)
-        mark, length, told = FRAME.unpack_from(self._held, position)
-        if mark != MARK or length > MOST:
+        if available < FRAME.size:
+            plausible = self._buffer[position : position + 2] == MARKER[: min(2, available)]
+            return None if plausible and not last else (0, None)
+        marker, length, checksum = FRAME.unpack_from(self._buffer, position)
+        if marker != MARKER or length > MAX_PAYLOAD_SIZE:
             return 0, None
-        if left < FRAME.size + length:
+        if available < FRAME.size + length:
             return (0, None) if last else None
         start = position + FRAME.size
-        payload = bytes(self._held[start : start + length])
-        if _extend(_sum(length.to_bytes(4, "little")), payload) != told:
+        payload = bytes(self._buffer[start : start + length])
+        if _extend_crc32c(_crc32c(length.to_bytes(4, "little")), payload) != checksum:
             return 0, None
         try:
             return FRAME.size + length, _decode(payload)
-        except msgspec.DecodeError:  # it checks, and says what nobody knows here
+        except msgspec.DecodeError:  # the checksum is right, but the content is of no known kind
             return 0, None
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -90,7 +90,7 @@
     @rule(data=some.data())
     def again_after_a_restart(self, data):
         """What the sender's own ledger knows of, the backlog drops."""
-        ids = data.draw(some.lists(some.sampled_from([*self.model._owed]), max_size=3))
+        ids = data.draw(some.lists(some.sampled_from([*self.model._documents]), max_size=3))
         self.store = opened(self.disk, now=self.now)
         self.store.drop([*ids, "never here"])
         self.model.drop(ids)
--- a/tests/test_backlog_bounds.py
+++ b/tests/test_backlog_bounds.py
@@ -10,7 +10,7 @@
 from fake import ROOM, kept, opened, settle
 
 from birchstack.backlog import left
-from birchstack.backlog.plan import IDS, PAGE, Run, Sizes, merged, parse
+from birchstack.backlog.plan import IDS, PAGE_SIZE, Run, Sizes, parse_name, select_merge
 from birchstack.backlog.settings import decode, load
 from birchstack.backlog.store import Backlog
 from birchstack.emulator.folder import Disk, MemoryFolder
@@ -51,7 +51,7 @@
 
     def read_at(self, name, offset, size):
         data = super().read_at(name, offset, size)
-        self.bytes["segments" if left([name]) else parse(name)[0]] += len(data)
+        self.bytes["segments" if left([name]) else parse_name(name)[0]] += len(data)
         self.calls += 1
         return data
 
@@ -78,8 +78,8 @@
         folder, owed, store = started(count, 20, body)
         runs = store._index.runs.values()
         assert folder.bytes["segments"] < SIZES.flushed * (body + 100) < owed / 10  # what no mark covers
-        assert folder.bytes["ids"] == sum(run.size - run.bits for run in runs) < 3 * count
-        assert folder.bytes["times"] <= sum((run.pages.bit_length() + 2) * PAGE for run in runs)
+        assert folder.bytes["ids"] == sum(run.size - run.filter_offset for run in runs) < 3 * count
+        assert folder.bytes["times"] <= sum((run.pages.bit_length() + 2) * PAGE_SIZE for run in runs)
         read.append(folder.bytes["manifest"])
     assert max(read) < 400_000  # its log, up to a snapshot, and the snapshot
 
@@ -131,11 +131,11 @@
 
 def test_runs_of_one_size_are_merged_and_all_once_most_is_past():
     sizes = Sizes(flushed=10, fan=3)
-    assert not merged([run(1, 10), run(2, 10), run(3, 100)], 120, sizes)
+    assert not select_merge([run(1, 10), run(2, 10), run(3, 100)], 120, sizes)
     four = [run(1, 10), run(2, 100), run(3, 10), run(4, 10)]
-    assert merged(four, 130, sizes) == [four[0], four[2], four[3]]
-    assert len(merged([run(1, 100), run(2, 300)], 100, sizes)) == 2
-    assert not merged([], 0, sizes) and not merged([run(1, 300)], 100, sizes, {1})
+    assert select_merge(four, 130, sizes) == [four[0], four[2], four[3]]
+    assert len(select_merge([run(1, 100), run(2, 300)], 100, sizes)) == 2
+    assert not select_merge([], 0, sizes) and not select_merge([run(1, 300)], 100, sizes, {1})
 
 
 def test_housekeeping_ends_where_much_of_a_log_has_expired_behind_one_that_has_not():
@@ -151,9 +151,9 @@
 
 
 def test_names_of_files_tell_whether_documents_were_left():
-    assert parse("backlog-ids-7") == ("ids", 7) and parse("backlog-12-7") == ("12", 7)
-    assert parse("backlog-manifest-1") == ("manifest", 1)
-    assert not parse("ledger") and not parse("backlog-ballast")
+    assert parse_name("backlog-ids-7") == ("ids", 7) and parse_name("backlog-12-7") == ("12", 7)
+    assert parse_name("backlog-manifest-1") == ("manifest", 1)
+    assert not parse_name("ledger") and not parse_name("backlog-ballast")
     assert left(["ledger", "backlog-3-9"]) and not left(["body-3", "backlog-ids-7", "backlog-manifest-1"])
 
 
--- a/tests/test_backlog_crash.py
+++ b/tests/test_backlog_crash.py
@@ -263,7 +263,7 @@
     for name in [name for name in disk.files if name.startswith(MANIFEST)]:
         del disk.files[name]
     store = opened(disk, SIZES)
-    assert len(store) == 200 and len(store._index.tail) < 60
+    assert len(store) == 200 and len(store._index.memtable) < 60
     assert sorted(drained(store)) == sorted(f"d{number}" for number in range(200))
 
 
--- a/tests/test_ledger_records.py
+++ b/tests/test_ledger_records.py
@@ -97,8 +97,8 @@
     [
         (b"", "0 bytes"),
         (b"ELF" + bytes(30), "begins with"),
-        (head(7)[:-1] + b"x", "does not check"),
-        (module.MAGIC + b"\x02" + head(7)[5:], "does not check"),
+        (head(7)[:-1] + b"x", "wrong checksum"),
+        (module.MAGIC + b"\x02" + head(7)[5:], "wrong checksum"),
     ],
 )
 def test_a_head_that_is_none_is_named(data, problem):
@@ -113,5 +113,5 @@
     for at in range(0, len(data), 4096):
         for _ in scanner.feed(data[at : at + 4096]):
             pass
-        most = max(most, len(scanner._held))
+        most = max(most, len(scanner._buffer))
     assert most < 4096 + 600
