--- a/birchstack/backlog/model.py
+++ b/birchstack/backlog/model.py
@@ -47,19 +47,19 @@
         return doc_id in self._documents
 
     def read(self, destination: int, most: int) -> list[Kept]:
-        """Returns the first documents that wait, at most so many, in order of arrival; they stay here."""
+        """Returns up to `most` waiting documents in order of arrival; they stay here."""
         found = self._at_destination(destination)[:most]
         self._last_reads[destination] = [kept.id for kept in found]
         return found
 
     def moved(self, destination: int, count: int) -> None:
-        """Removes the first documents of the last read(); documents ended since then are counted too."""
+        """Removes the first `count` documents of the last read(), counting those that ended since then."""
         for doc_id in self._last_reads[destination][:count]:
             self._documents.pop(doc_id, None)
         del self._last_reads[destination][:count]
 
     def due(self, now: float, most: int) -> list[Kept]:
-        """Returns documents that have expired, at most so many, by expiry."""
+        """Returns up to `most` expired documents by expiry."""
         found = [kept for kept in self._documents.values() if kept.expiry <= now]
         return sorted(found, key=lambda kept: kept.expiry)[:most]
 
@@ -69,7 +69,7 @@
             self._documents.pop(doc_id, None)
 
     def drop(self, ids: Iterable[str]) -> None:
-        """Removes the documents that the sender's ledger holds; called after a start."""
+        """Removes, after a start, the documents that the sender's ledger knows."""
         self.ended([*ids])
 
     def next_due(self) -> float:
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -63,9 +63,9 @@
 
 READ_SIZE = 65536  # bytes of one read of a segment
 FIRST_READ_SIZE = 16384  # bytes of the first read of a segment in a scan
-DOCUMENT_READ_SIZE = 4096  # bytes read for one document at first; a second read follows if it is longer
 MAX_OPEN_SEGMENTS = 64  # file descriptors open for appending
 MAX_REMEMBERED_READS = 64  # destinations whose last read() is remembered for moved()
+DOCUMENT_READ_SIZE = 4096  # bytes read for one document at first; a second read follows if it is longer
 RUN_KINDS = (IDS, TIMES)
 RECORD_OVERHEAD_BYTES = 256  # bytes of a document's record besides its body
 DESTINATIONS_PER_STATE = 128  # destinations in one State record of a snapshot
@@ -385,7 +385,7 @@
             self._folder.close(handle)
 
     def read(self, destination: int, most: int) -> list[Kept]:
-        """Returns the first documents that wait, at most so many, in order of arrival; they stay here."""
+        """Returns up to `most` waiting documents in order of arrival; they stay here."""
         state = self._states.get(destination)
         if state is None:
             return []
@@ -466,7 +466,7 @@
             say(log, "rot in the backlog", logging.ERROR, file=name, start=start, end=end)
 
     def moved(self, destination: int, count: int) -> None:
-        """Records that the first documents of the last read(), so many, are in the ledger now."""
+        """Records that the first `count` documents of the last read() are in the ledger now."""
         state = self._states.get(destination)
         if state is None or count <= 0:
             return
@@ -571,7 +571,7 @@
     # Expiry
 
     def due(self, now: float, most: int) -> list[Kept]:
-        """Returns documents that have expired, at most so many; each is returned until it ends or moves."""
+        """Returns up to `most` expired documents; each is returned again until it ends or moves."""
         self._now = max(self._now, now)
         found = [kept for _, kept in self._offered.values()][:most]
         limit = expiry_limit(now)
@@ -627,7 +627,7 @@
             self._record_ended(entries)
 
     def drop(self, ids: Iterable[str]) -> None:
-        """Ends the documents that the sender's ledger holds, ended or not; called after a start."""
+        """Ends, after a start, the documents that the sender's ledger knows, whether they ended there or not."""
         ids = [*ids]
         self.ended(ids)
         # Without the corrupted runs some documents may not be found, and would be transmitted twice, so the
--- a/birchstack/ledger/records.py
+++ b/birchstack/ledger/records.py
@@ -196,7 +196,7 @@
 def read_head(data: bytes) -> int:
     """Returns the number of a segment from its first HEAD.size bytes."""
     if len(data) < HEAD.size:
-        raise HeadError(f"segment header truncated: got {len(data)} bytes of {HEAD.size}")
+        raise HeadError(f"segment header truncated: got {len(data)} bytes")
     magic, version, _, number, checksum = HEAD.unpack(data[: HEAD.size])
     if magic != MAGIC:
         raise HeadError(f"segment begins with {magic!r}, not {MAGIC!r}")
