--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -627,7 +627,7 @@
             self._record_ended(entries)
 
     def drop(self, ids: Iterable[str]) -> None:
-        """Ends, after a start, the documents that the sender's ledger knows, whether they ended there or not."""
+        """Ends, after a start, the documents that the sender's ledger knows, ended or not."""
         ids = [*ids]
         self.ended(ids)
         # Without the corrupted runs some documents may not be found, and would be transmitted twice, so the
--- a/tests/test_backlog_bounds.py
+++ b/tests/test_backlog_bounds.py
@@ -1,4 +1,4 @@
-"""What the backlog holds in memory and reads at a start, counted; its settings; what is merged when."""
+"""Bounds of the backlog's memory and of its reads at a start; its settings; which runs are merged."""
 
 import collections
 import gc
@@ -39,12 +39,14 @@
             sizes.append(tracemalloc.get_traced_memory()[0])
     finally:
         tracemalloc.stop()
-    filters = sum(bloom.size_in_bits / 8 for bloom in store._index._filters.values())  # not Python's own
+    filters = sum(bloom.size_in_bits / 8 for bloom in store._index._filters.values())  # not traced
     assert len(store) == 28_000
     assert (sizes[1] - sizes[0]) / 20_000 + filters / 28_000 < 8
 
 
-class Counted(MemoryFolder):
+class CountingFolder(MemoryFolder):
+    """Counts the reads and the bytes read, by kind of file."""
+
     def __init__(self, disk):
         super().__init__(disk)
         self.bytes, self.calls = collections.Counter(), 0
@@ -56,48 +58,50 @@
         return data
 
     def read(self, name):
-        raise AssertionError("nothing is read whole")
+        raise AssertionError("a file was read whole")
 
 
-def started(count, destinations, body=100):
+def restart_counting(count, destinations, body=100):
+    """Returns the folder that counted the reads of a restart, the size of the segments, the store before."""
     disk = Disk()
     store = opened(disk, SIZES)
     for number in range(count):
         store.append(kept(number, number % destinations, 1e6 + number, b"b" * body))
         store.step()
     settle(store)
-    folder = Counted(disk)
+    folder = CountingFolder(disk)
     assert len(Backlog(folder, ROOM, 0.0, SIZES)) == count
-    owed = sum(len(data) for name, data in disk.files.items() if left([name]))
-    return folder, owed, store
+    segment_bytes = sum(len(data) for name, data in disk.files.items() if left([name]))
+    return folder, segment_bytes, store
 
 
-def test_a_restart_reads_the_manifest_the_filters_and_the_tails_and_not_what_is_owed():
-    read = []
+def test_a_restart_reads_the_manifest_the_filters_and_the_segments_after_the_last_checkpoint():
+    manifest_bytes = []
     for count, body in ((4000, 100), (16_000, 100), (16_000, 1000)):
-        folder, owed, store = started(count, 20, body)
+        folder, segment_bytes, store = restart_counting(count, 20, body)
         runs = store._index.runs.values()
-        assert folder.bytes["segments"] < SIZES.flushed * (body + 100) < owed / 10  # what no mark covers
+        # Only the records after the last checkpoint are read
+        assert folder.bytes["segments"] < SIZES.flushed * (body + 100) < segment_bytes / 10
         assert folder.bytes["ids"] == sum(run.size - run.filter_offset for run in runs) < 3 * count
         assert folder.bytes["times"] <= sum((run.pages.bit_length() + 2) * PAGE_SIZE for run in runs)
-        read.append(folder.bytes["manifest"])
-    assert max(read) < 400_000  # its log, up to a snapshot, and the snapshot
+        manifest_bytes.append(folder.bytes["manifest"])
+    assert max(manifest_bytes) < 400_000  # a snapshot, and the log that may grow before the next one
 
 
-def test_a_destination_more_costs_a_tail_and_not_a_file_that_is_read():
-    one, ten = started(4000, 10)[0], started(4000, 400)[0]
-    assert ten.calls < one.calls + 2 * 400
-    assert ten.bytes["segments"] < SIZES.flushed * 200
+def test_at_a_restart_more_destinations_cost_no_reads_of_whole_files():
+    few, many = restart_counting(4000, 10)[0], restart_counting(4000, 400)[0]
+    assert many.calls < few.calls + 2 * 400
+    assert many.bytes["segments"] < SIZES.flushed * 200
 
 
-def test_nine_tenths_at_one_destination_leave_the_others_as_they_are():
+def test_a_destination_with_nine_tenths_of_the_documents_does_not_hold_up_the_others():
     disk = Disk()
-    store, chance = opened(disk, SIZES), random.Random(2)
+    store, generator = opened(disk, SIZES), random.Random(2)
     for number in range(3000):
-        store.append(kept(number, 0 if chance.random() < 0.9 else 1 + number % 9, body=b"b" * 100))
+        store.append(kept(number, 0 if generator.random() < 0.9 else 1 + number % 9, body=b"b" * 100))
         store.step()
     assert store.waiting(0)[0] > 2600 and len([*store.destinations()]) == 10
-    for destination in [*store.destinations()]:  # all return
+    for destination in [*store.destinations()]:  # all documents are moved back
         while store.waiting(destination)[0]:
             got = store.read(destination, 64)
             assert got and [each.taken for each in got] == sorted(each.taken for each in got)
@@ -107,29 +111,29 @@
     assert not len(store) and not left(disk.files)
 
 
-def test_what_one_step_writes_and_reads_is_bounded():
-    """The sizes of a real one: no step handles more than some thousands of entries, whatever is owed."""
-    most, folder = [0], MemoryFolder(Disk())
-    plain = folder.append
+def test_the_bytes_that_one_step_writes_are_bounded():
+    """No step writes more than a piece of a run, or a filter, however many documents wait."""
+    written, folder = [0], MemoryFolder(Disk())
+    original_append = folder.append
 
     def append(handle, data):
-        most[-1] += len(data)
-        return plain(handle, data)
+        written[-1] += len(data)
+        return original_append(handle, data)
 
     folder.append = append
     store = Backlog(folder, ROOM, 0.0, SIZES._replace(fan=2))
     for number in range(20_000):
         store.append(kept(number, number % 5, 1e6, b""))
-        most.append(0)
+        written.append(0)
         store.step()
-    assert max(most) < 160_000  # a piece of a run, or the filter of one
+    assert max(written) < 160_000  # a piece of a run, or its filter
 
 
 def run(number, count):
     return Run(IDS, number, count, 0, 0)
 
 
-def test_runs_of_one_size_are_merged_and_all_once_most_is_past():
+def test_runs_of_one_size_are_merged_and_all_runs_once_most_entries_are_obsolete():
     sizes = Sizes(flushed=10, fan=3)
     assert not select_merge([run(1, 10), run(2, 10), run(3, 100)], 120, sizes)
     four = [run(1, 10), run(2, 100), run(3, 10), run(4, 10)]
@@ -138,35 +142,36 @@
     assert not select_merge([], 0, sizes) and not select_merge([run(1, 300)], 100, sizes, {1})
 
 
-def test_housekeeping_ends_where_much_of_a_log_has_expired_behind_one_that_has_not():
+def test_housekeeping_completes_where_many_documents_expired_after_one_that_has_not():
+    """The first record stays, so the entries after it cannot be dropped; merging them must not repeat."""
     store = opened(Disk(), SIZES._replace(flushed=16))
     for number in range(600):
         store.append(kept(number, 1, 1e6 if number == 0 else 100.0 + number))
-    gone = True
-    while gone:
-        gone = [each.id for each in store.due(1e5, 50)]
-        store.ended(gone)
-        assert any(not store.step() for _ in range(500)), "it goes on for ever"
+    expired = True
+    while expired:
+        expired = [each.id for each in store.due(1e5, 50)]
+        store.ended(expired)
+        assert any(not store.step() for _ in range(500)), "housekeeping does not complete"
     assert len(store) == 1 and store.read(1, 9)[0].id == "d0" and not store.holds("d7")
 
 
-def test_names_of_files_tell_whether_documents_were_left():
+def test_file_names_show_whether_documents_were_left():
     assert parse_name("backlog-ids-7") == ("ids", 7) and parse_name("backlog-12-7") == ("12", 7)
     assert parse_name("backlog-manifest-1") == ("manifest", 1)
     assert not parse_name("ledger") and not parse_name("backlog-ballast")
     assert left(["ledger", "backlog-3-9"]) and not left(["body-3", "backlog-ids-7", "backlog-manifest-1"])
 
 
-def test_the_operators_file_names_what_is_wrong_in_it(tmp_path):
+def test_an_error_in_the_operators_file_is_named(tmp_path):
     example = load(str(Path(__file__).parent.parent / "deploy" / "backlog.toml"))
     assert example.window >= 1 and example.bytes >= 16 << 20
-    room = "bytes = 99999999"
+    valid_bytes = "bytes = 99999999"
     for text, problem in [
         ("", "backlog"),
-        (f"[backlog]\nwindow = 0\n{room}", "window"),
+        (f"[backlog]\nwindow = 0\n{valid_bytes}", "window"),
         ("[backlog]\nwindow = 9\nbytes = 1", "bytes"),
         ("[backlog]\nwindow = 9", "bytes"),
-        (f"[backlog]\nwindow = 9\n{room}\nrooms = 1", "rooms"),
+        (f"[backlog]\nwindow = 9\n{valid_bytes}\nrooms = 1", "rooms"),
         ("[x", ""),
     ]:
         with pytest.raises(ConfigError, match=f"^BALANCER_BACKLOG: x.toml: .*{problem}"):
--- a/tests/test_backlog_crash.py
+++ b/tests/test_backlog_crash.py
@@ -1,4 +1,4 @@
-"""The backlog after a kill at each write of a scripted day, torn ends, rot, and a disk that is full."""
+"""The backlog after kills at each write of a scripted run, torn ends, corruption, and on a full disk."""
 
 import random
 from math import inf
@@ -15,69 +15,76 @@
 SIZES = SMALL._replace(sealed=1500, flushed=10, unmarked=6000)
 
 
-class Day:
-    """A sender's dealings with its backlog. own: what its own ledger knows of; owed: what it does not yet."""
+class ScriptedRun:
+    """A sender's calls of its backlog, and what must hold after them.
+
+    in_ledger: documents that the sender's own ledger knows; waiting: those that only the backlog has;
+    appending: the one whose append() has not returned.
+    """
 
     folder = staticmethod(MemoryFolder)
 
     def __init__(self, disk, seed=1, steps=260):
-        self.disk, self.chance, self.steps = disk, random.Random(seed), steps
-        self.owed, self.own, self.maybe = {}, {}, None
+        self.disk, self.generator, self.steps = disk, random.Random(seed), steps
+        self.waiting, self.in_ledger, self.appending = {}, {}, None
         self.now = 0.0
 
     def start(self):
         self.store = Backlog(self.folder(self.disk), ROOM, self.now, SIZES)
-        self.store.drop([*self.own])
+        self.store.drop([*self.in_ledger])
 
-    def to_own(self, documents):
+    def move_to_ledger(self, documents):
         for each in documents:
-            self.own[each.id] = self.owed.pop(each.id)
+            self.in_ledger[each.id] = self.waiting.pop(each.id)
 
     def play(self):
         for number in range(self.steps):
             self.now += 1.0
-            for part in range(self.chance.randrange(4)):
-                far = self.chance.choice([7.0, 60.0, 1e5])
-                one = kept(
+            for part in range(self.generator.randrange(4)):
+                remaining = self.generator.choice([7.0, 60.0, 1e5])
+                document = kept(
                     f"{number}-{part}",
-                    self.chance.choice([1, 1, 1, 2, 3]),
-                    self.now + far,
-                    b"x" * self.chance.choice([0, 20, 400]),
+                    self.generator.choice([1, 1, 1, 2, 3]),
+                    self.now + remaining,
+                    b"x" * self.generator.choice([0, 20, 400]),
                     self.now,
                 )
-                self.maybe = one
-                self.store.append(one)
-                self.owed[one.id], self.maybe = one, None
-            if self.chance.random() < 0.25:
-                destination = self.chance.randrange(1, 4)
+                self.appending = document
+                self.store.append(document)
+                self.waiting[document.id], self.appending = document, None
+            if self.generator.random() < 0.25:
+                destination = self.generator.randrange(1, 4)
                 got = self.store.read(destination, 12)
-                there = [each for each in self.owed.values() if each.destination == destination]
-                assert got == there[: len(got)]
-                self.to_own(got[:8])
+                expected = [each for each in self.waiting.values() if each.destination == destination]
+                assert got == expected[: len(got)]
+                self.move_to_ledger(got[:8])
                 self.store.moved(destination, len(got[:8]))
-            if self.chance.random() < 0.3:
-                gone = self.store.due(self.now, 5)
-                self.to_own(gone)
-                self.store.ended([each.id for each in gone])
-            for _ in range(self.chance.randrange(4)):
+            if self.generator.random() < 0.3:
+                expired = self.store.due(self.now, 5)
+                self.move_to_ledger(expired)
+                self.store.ended([each.id for each in expired])
+            for _ in range(self.generator.randrange(4)):
                 self.store.step()
             if number % 90 == 80:
                 self.start()
 
     def check(self, by_time):
-        """All that is owed is found once, in order; what was being taken on at the kill may be there too."""
+        """All waiting documents are found once and in order.
+
+        The document that was being appended at the kill may be found, too.
+        """
         store = self.store
-        want = dict(self.owed)
-        if self.maybe is not None and store.holds(self.maybe.id):
-            want[self.maybe.id] = self.maybe
+        want = dict(self.waiting)
+        if self.appending is not None and store.holds(self.appending.id):
+            want[self.appending.id] = self.appending
         assert not store.lost and len(store) == len(want) and all(map(store.holds, want))
-        assert not any(map(store.holds, self.own))
+        assert not any(map(store.holds, self.in_ledger))
         if by_time:
             found = []
             while store.next_due() < inf:
-                some = store.due(1e9, 7)
-                found += [each.id for each in some]
-                store.ended([each.id for each in some])
+                batch = store.due(1e9, 7)
+                found += [each.id for each in batch]
+                store.ended([each.id for each in batch])
             assert sorted(found) == sorted(want)
             assert found == [
                 each.id for each in sorted(want.values(), key=lambda each: each.expiry)
@@ -86,79 +93,86 @@
             for destination in [*store.destinations()]:
                 found = []
                 while store.waiting(destination)[0]:
-                    some = store.read(destination, 7)
-                    found += some
-                    store.moved(destination, len(some))
+                    batch = store.read(destination, 7)
+                    found += batch
+                    store.moved(destination, len(batch))
                 assert found == [each for each in want.values() if each.destination == destination]
         assert not len(store) and not [*store.destinations()]
         store.close()
         assert not self.disk.files
 
 
-class Watched(MemoryFolder):
-    """Tells of each change before it is made: the file, and what is appended, None where it goes."""
+class ObservedFolder(MemoryFolder):
+    """Reports each change before it is made: the file, and the data appended, None for a removal."""
 
-    def __init__(self, disk, told):
+    def __init__(self, disk, before_change):
         super().__init__(disk)
-        self._told, self._names = told, {}
+        self._before_change, self._names = before_change, {}
 
     def open(self, name, fresh=False):
         if fresh or name not in self._disk.files:
-            self._told(name, b"")
+            self._before_change(name, b"")
         handle = super().open(name, fresh)
         self._names[handle] = name
         return handle
 
     def append(self, handle, data):
-        self._told(self._names[handle], data)
+        self._before_change(self._names[handle], data)
         return super().append(handle, data)
 
     def unlink(self, name):
-        self._told(name, None)
+        self._before_change(name, None)
         super().unlink(name)
 
 
-class Crashes:
-    """Ends a copy of the day's process at each change: before it, after it, and with half of it written."""
+class KillAtEachChange:
+    """Starts and checks a copy of the run's folder as a kill leaves it at each change.
+
+    The kill comes before the change, with half of it written, or with all but its last byte written.
+    """
 
     def __init__(self):
         self.points = self.changes = self.snapshots = 0
-        self.day = Day(Disk())
-        self.day.folder = lambda disk: Watched(disk, self.told)
+        self.run = ScriptedRun(Disk())
+        self.run.folder = lambda disk: ObservedFolder(disk, self.before_change)
 
-    def told(self, name, data):
+    def before_change(self, name, data):
         self.changes += 1
         self.snapshots += data == b"" and name.startswith(MANIFEST)
-        for how in (0, 1, 2) if data else (0,):  # the end after a change is the one before the next
+        for how in (0, 1, 2) if data else (0,):  # a kill after this change is the one before the next
             if how == 2 and len(data) < 2:
                 continue
-            files = {each: bytearray(text) for each, text in self.day.disk.files.items()}
+            files = {each: bytearray(content) for each, content in self.run.disk.files.items()}
             if how:
                 files[name].extend(data[: len(data) // 2 if how == 1 else len(data) - 1])
-            self.ended(files, by_time=(self.changes + how) % 2 == 0)
+            self.restart_and_check(files, by_time=(self.changes + how) % 2 == 0)
 
-    def ended(self, files, by_time):
-        day, self.points = Day(Disk()), self.points + 1
-        day.disk.files, day.now = files, self.day.now
-        day.owed, day.own, day.maybe = dict(self.day.owed), dict(self.day.own), self.day.maybe
-        day.start()
-        day.check(by_time)
+    def restart_and_check(self, files, by_time):
+        run, self.points = ScriptedRun(Disk()), self.points + 1
+        run.disk.files, run.now = files, self.run.now
+        run.waiting, run.in_ledger, run.appending = (
+            dict(self.run.waiting),
+            dict(self.run.in_ledger),
+            self.run.appending,
+        )
+        run.start()
+        run.check(by_time)
 
 
-def test_a_kill_at_each_write_of_a_day_loses_nothing_and_keeps_the_order():
-    crashes = Crashes()
-    crashes.day.start()
-    crashes.day.play()
-    print(f"{crashes.changes} writes, {crashes.points} ends")
-    assert crashes.changes > 700 and crashes.points > 1500 and crashes.snapshots > 5
+def test_a_kill_at_any_write_loses_no_document_and_keeps_the_order():
+    kills = KillAtEachChange()
+    kills.run.start()
+    kills.run.play()
+    print(f"{kills.changes} writes, {kills.points} kills")
+    assert kills.changes > 700 and kills.points > 1500 and kills.snapshots > 5
 
 
-def filled(count=120, sizes=SIZES, whole=True, **words):
+def filled(count=120, sizes=SIZES, settled=True, **fields):
     disk = Disk()
     store = opened(disk, sizes)
     for number in range(count):
-        store.append(kept(number, number % 3, 1000.0 + number, b"b" * 50, **words))
-    if whole:
+        store.append(kept(number, number % 3, 1000.0 + number, b"b" * 50, **fields))
+    if settled:
         settle(store)
     return disk, store
 
@@ -167,9 +181,9 @@
     found = []
     for destination in [*store.destinations()]:
         while store.waiting(destination)[0]:
-            some = store.read(destination, 7)
-            found += [each.id for each in some]
-            store.moved(destination, len(some))
+            batch = store.read(destination, 7)
+            found += [each.id for each in batch]
+            store.moved(destination, len(batch))
     return found
 
 
@@ -181,18 +195,18 @@
 
 
 @pytest.mark.parametrize("cut", [1, 9, 60])
-def test_a_torn_end_costs_what_was_torn_and_what_comes_after_is_kept_in_order(cut, caplog):
+def test_a_torn_end_costs_one_document_and_later_ones_are_kept_in_order(cut, caplog):
     disk, _ = filled()
     del disk.files[segments(disk, 0)[-1]][-cut:]
     store = opened(disk, SIZES)
     store.append(kept("new", 0))
-    store = opened(disk, SIZES)  # the segment that is torn was not written on
+    store = opened(disk, SIZES)  # nothing was appended to the torn segment
     found = [each for each in drained(store) if each == "dnew" or int(each[1:]) % 3 == 0]
     assert found == [*(f"d{number}" for number in range(0, 117, 3)), "dnew"]
     assert not [each for each in caplog.records if each.msg == "rot in the backlog"]
 
 
-def test_rot_in_the_middle_of_a_segment_is_counted_and_the_rest_is_read(caplog):
+def test_corruption_in_the_middle_of_a_segment_is_counted_and_the_rest_is_read(caplog):
     disk, _ = filled()
     name = segments(disk, 1)[1]
     disk.files[name][HEAD.size + 200] ^= 4
@@ -202,19 +216,19 @@
     assert len(found) == 119 == len({*found}) and store.lost == 1 and not len(store)
     assert [each.words["after"] for each in caplog.records if each.msg == "documents lost"] == [name]
     for destination in range(3):
-        mine = [int(each[1:]) for each in found if int(each[1:]) % 3 == destination]
-        assert mine == sorted(mine)
+        numbers = [int(each[1:]) for each in found if int(each[1:]) % 3 == destination]
+        assert numbers == sorted(numbers)
 
 
-def test_a_segment_that_is_gone_is_counted_and_by_time_the_rest_is_found(caplog):
+def test_a_missing_segment_is_counted_and_the_other_documents_expire_in_order(caplog):
     disk, _ = filled()
     name = segments(disk, 2)[0]
     del disk.files[name]
     store, found = opened(disk, SIZES), []
     while store.next_due() < inf:
-        some = [each.id for each in store.due(1e9, 9)]
-        found += some
-        store.ended(some)
+        batch = [each.id for each in store.due(1e9, 9)]
+        found += batch
+        store.ended(batch)
     settle(store)
     assert len(found) == 120 - store.lost and 0 < store.lost < 20 and not len(store)
     assert not [*store.destinations()] and found == sorted(found, key=lambda each: int(each[1:]))
@@ -222,7 +236,7 @@
 
 @pytest.mark.parametrize("kind", ["ids", "times"])
 @pytest.mark.parametrize("how", ["a page", "the file", "its filter"])
-def test_an_index_that_is_lost_is_made_anew_from_the_segments(kind, how, caplog):
+def test_a_damaged_index_run_is_rebuilt_from_the_segments(kind, how, caplog):
     disk, _ = filled()
     name = max(
         (name for name in disk.files if name.startswith(f"backlog-{kind}")),
@@ -234,7 +248,7 @@
         disk.files[name][-5 if how == "its filter" else HEAD.size + 25] ^= 1
     copy = Disk()
     copy.files = {each: bytearray(data) for each, data in disk.files.items()}
-    store = opened(copy, SIZES)  # what the sender's own ledger has goes, whatever is lost
+    store = opened(copy, SIZES)  # drop() finds every document of the ledger, whatever is damaged
     store.drop(f"d{number}" for number in range(0, 120, 4))
     assert len(store) == 90 and sorted(drained(store)) == sorted(f"d{n}" for n in range(120) if n % 4)
     store = opened(disk, SIZES)
@@ -242,23 +256,23 @@
         store.holds(f"d{number}")
     for _ in range(3):
         store.step()
-    store = opened(disk, SIZES)  # a kill while it is made anew
-    gone = [each.id for each in store.due(1e9, 5)]  # not all that are due before them, for now
-    store.ended(gone)
-    for number in range(120):  # may be missed until it is there again
+    store = opened(disk, SIZES)  # as after a kill during the rebuild
+    ended = [each.id for each in store.due(1e9, 5)]  # some documents due earlier are not found yet
+    store.ended(ended)
+    for number in range(120):  # some may not be found until the rebuild is complete
         store.holds(f"d{number}")
     settle(store)
-    assert all(store.holds(f"d{number}") for number in range(120) if f"d{number}" not in gone)
-    found = [*gone]
+    assert all(store.holds(f"d{number}") for number in range(120) if f"d{number}" not in ended)
+    found = [*ended]
     while store.next_due() < inf:
-        some = [each.id for each in store.due(1e9, 9)]
-        found += some
-        store.ended(some)
-        settle(store)  # where a page is met that does not check
+        batch = [each.id for each in store.due(1e9, 9)]
+        found += batch
+        store.ended(batch)
+        settle(store)  # due() may have met a corrupted page
     assert sorted(found) == sorted(f"d{number}" for number in range(120)) and not store.lost
 
 
-def test_a_manifest_that_is_lost_costs_a_reading_of_all_but_no_document(caplog):
+def test_a_lost_manifest_costs_a_read_of_all_segments_but_no_document(caplog):
     disk, _ = filled(200)
     for name in [name for name in disk.files if name.startswith(MANIFEST)]:
         del disk.files[name]
@@ -267,7 +281,7 @@
     assert sorted(drained(store)) == sorted(f"d{number}" for number in range(200))
 
 
-def test_a_full_disk_refuses_documents_and_still_records_moves_and_ends():
+def test_with_a_full_disk_documents_are_refused_but_moves_and_ends_are_recorded():
     disk, store = filled(60)
     disk.limit = disk.used() + 700
     taken = 60
@@ -278,22 +292,22 @@
     assert len(store) == taken
     for _ in range(40):
         store.step()
-    gone = []
-    for _ in range(4):  # ends and moves, in the room that was kept for them
-        some = [each.id for each in store.due(1e9, 3)]
-        store.ended(some)
+    removed = []
+    for _ in range(4):  # ends and moves use the room of the ballast
+        ended = [each.id for each in store.due(1e9, 3)]
+        store.ended(ended)
         moved = store.read(1, 3)
         store.moved(1, len(moved))
-        gone += [*some, *(each.id for each in moved)]
+        removed += [*ended, *(each.id for each in moved)]
     store = opened(disk, SIZES)  # as after a kill
-    assert len(store) == taken - len(gone) and not any(map(store.holds, gone)) and not store.lost
-    assert {*drained(store)} | {*gone} == {f"d{number}" for number in range(taken)}
+    assert len(store) == taken - len(removed) and not any(map(store.holds, removed)) and not store.lost
+    assert {*drained(store)} | {*removed} == {f"d{number}" for number in range(taken)}
     settle(store)
     store.append(kept("room", 0))  # there is room again
     assert store.holds("droom")
 
 
-def test_where_nothing_more_can_be_written_a_move_is_refused_and_an_end_is_told_later():
+def test_where_nothing_can_be_written_a_move_is_refused_and_an_end_is_recorded_later():
     disk, store = filled(30)
     disk.full = True
     for name in disk.files:
@@ -312,7 +326,7 @@
     assert len(store) == 29 and not store.holds(got[0].id)
 
 
-def test_what_fits_follows_the_room():
+def test_fits_follows_the_free_room():
     room = ROOM.__class__(window=1, bytes=16 << 20)
     disk = Disk()
     store, number = opened(disk, Sizes(), room), 0
@@ -327,13 +341,13 @@
     assert store.fits([60_000])
 
 
-def test_a_body_of_the_largest_size_an_expiry_that_is_past_and_half_a_character():
+def test_a_body_of_the_largest_size_an_expiry_in_the_past_and_a_lone_surrogate():
     disk, store = filled(5)
     store.append(kept("large", 7, body=bytes(range(256)) * 256))
     assert store.read(7, 1)[0].body == bytes(range(256)) * 256 and store.waiting(7)[0] == 1
-    gone = [each.id for each in store.due(2000.0, 99)]
-    store.ended(gone)
-    store.append(kept("late", 8, 3.0))  # before what is known to be past: comes next, and is not lost
+    ended = [each.id for each in store.due(2000.0, 99)]
+    store.ended(ended)
+    store.append(kept("late", 8, 3.0))  # below the watermark: it is due next, and is not lost
     assert store.holds("dlate") and [each.id for each in store.read(8, 1)] == ["dlate"]
     assert [each.id for each in store.due(2000.1, 9)] == ["dlate"]
     with pytest.raises(OSError):
@@ -342,7 +356,7 @@
     assert [each.id for each in opened(disk, SIZES).read(7, 5)] == ["dlarge", "dlarge2"]
 
 
-def test_real_processes_that_are_killed_lose_nothing_and_move_nothing_twice():
-    told = backlog_kills.play(6, seed=1)  # more of them: python -m tests.backlog_kills
-    assert told["taken"] > 20
-    assert not any(told[name] for name in ("lost", "rot", "twice", "out of order", "left"))
+def test_killed_processes_lose_no_document_and_move_none_twice():
+    counts = backlog_kills.run_kills(6, seed=1)  # for more kills: python -m tests.backlog_kills
+    assert counts["taken"] > 20
+    assert not any(counts[name] for name in ("lost", "corrupted", "twice", "out of order", "left"))
