--- a/benchmarks/backlog_options.py
+++ b/benchmarks/backlog_options.py
@@ -48,7 +48,7 @@
         data = folder.read_at(name, offset, min(PIECE, end - offset))
         offset += len(data)
         for _, record in scanner.feed(data):
-            yield record, scanner.past
+            yield record, scanner.end_offset
 
 
 class Each:
--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -33,7 +33,7 @@
     """What keeps long lines of documents on disk, where operators switched it on; it takes descriptors."""
     path = os.environ.get("BALANCER_BACKLOG")
     if not path:
-        if backlog.left(os.listdir(config.state)):
+        if backlog.contains_documents(os.listdir(config.state)):
             raise ConfigError(f"BALANCER_BACKLOG: not set, but documents wait in a backlog in {config.state}")
         return config, None
     try:
@@ -43,7 +43,7 @@
     sockets = min(config.sockets, Machine().descriptors()) - maker.DESCRIPTORS
     if sockets < 64:
         raise ConfigError(f"limits.sockets: the backlog needs {maker.DESCRIPTORS}, which leaves {sockets}")
-    return dataclasses.replace(config, sockets=sockets), maker.maker(settings.load(path))
+    return dataclasses.replace(config, sockets=sockets), maker.store_factory(settings.load(path))
 
 
 async def _serve(config: Config, audit: MakeAuditLog | None, store: MakeStore | None) -> None:
--- a/birchstack/backlog/__init__.py
+++ b/birchstack/backlog/__init__.py
@@ -9,7 +9,7 @@
 PREFIX = "backlog-"  # of the names of all backlog files
 
 
-def left(names: Iterable[str]) -> bool:
+def contains_documents(names: Iterable[str]) -> bool:
     """Returns whether any of these file names is that of a segment.
 
     Segments are named backlog-<destination>-<number>; only they contain documents.
--- a/birchstack/backlog/index.py
+++ b/birchstack/backlog/index.py
@@ -235,4 +235,4 @@
 
     def wants_flush(self) -> bool:
         """Returns whether the memtable is full."""
-        return len(self.memtable) >= self._sizes.flushed
+        return len(self.memtable) >= self._sizes.flush_documents
--- a/birchstack/backlog/maker.py
+++ b/birchstack/backlog/maker.py
@@ -11,7 +11,7 @@
 DESCRIPTORS = MAX_OPEN_SEGMENTS + 8  # segments, the manifest and a new one, runs being written and read
 
 
-def maker(settings: Settings) -> Make:
+def store_factory(settings: Settings) -> Make:
     """Returns a function that opens the backlog of a folder."""
 
     def make(folder: Folder, now: float) -> Made:
--- a/birchstack/backlog/manifest.py
+++ b/birchstack/backlog/manifest.py
@@ -68,7 +68,7 @@
         self.name, self._log_bytes, found, scanner = best
         self.torn = bool(scanner.damages)  # a snapshot follows soon, so that nothing follows a torn record
         for damage in scanner.damages:
-            if damage.rot:
+            if damage.corruption:
                 say(
                     log,
                     "rot in the manifest",
--- a/birchstack/backlog/plan.py
+++ b/birchstack/backlog/plan.py
@@ -37,22 +37,15 @@
 
 
 class Sizes(NamedTuple):
-    """Limits of the backlog's files and of the work of one call.
+    """Limits of the backlog's files and of the work of one call."""
 
-    sealed: bytes beyond which a segment is not extended. flushed: documents whose entries are held in memory
-    before they are flushed to a run. unmarked: bytes of their records, at most, which a restart has to read.
-    fan: runs of one level that are merged into one. passed and popped: bytes of records and entries that one
-    call passes over. logged: bytes of the manifest's log, at least, before a new snapshot is written; it must
-    also be longer than twice the snapshot.
-    """
-
-    sealed: int = 1 << 20
-    flushed: int = 2048
-    unmarked: int = 2 << 20
-    fan: int = 8
-    passed: int = 1 << 20
-    popped: int = 4096
-    logged: int = 1 << 18
+    segment_bytes: int = 1 << 20  # a segment is sealed before it grows beyond this
+    flush_documents: int = 2048  # documents whose entries are held in memory before they are flushed to a run
+    unindexed_bytes: int = 2 << 20  # limit of the bytes of their records, which a restart reads
+    merge_fan_in: int = 8  # runs of one level that are merged into one
+    scan_bytes: int = 1 << 20  # bytes of records that one call passes over
+    scan_entries: int = 4096  # entries that one call passes over
+    log_bytes: int = 1 << 18  # a new manifest begins once its log is longer than this and twice its snapshot
 
 
 class Run(NamedTuple):
@@ -118,9 +111,9 @@
 
 def level(count: int, sizes: Sizes) -> int:
     """Returns the merge level of a run; runs of one level have about the same size."""
-    found, size = 0, sizes.flushed * sizes.fan
+    found, size = 0, sizes.flush_documents * sizes.merge_fan_in
     while count >= size:
-        found, size = found + 1, size * sizes.fan
+        found, size = found + 1, size * sizes.merge_fan_in
     return found
 
 
@@ -132,7 +125,7 @@
     that would repeat without end.
     """
     runs = list(runs)
-    if sum(run.count for run in runs) > 2 * needed + 4 * sizes.flushed and not (
+    if sum(run.count for run in runs) > 2 * needed + 4 * sizes.flush_documents and not (
         len(runs) == 1 and runs[0].number in dense
     ):
         return runs
@@ -140,6 +133,6 @@
     for run in runs:
         by_level.setdefault(level(run.count, sizes), []).append(run)
     for each in sorted(by_level):
-        if len(by_level[each]) >= sizes.fan:
-            return by_level[each][: sizes.fan]
+        if len(by_level[each]) >= sizes.merge_fan_in:
+            return by_level[each][: sizes.merge_fan_in]
     return []
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -54,7 +54,7 @@
     State,
     Whole,
     frame,
-    framed,
+    frame_length,
     head,
     unframe,
 )
@@ -134,7 +134,7 @@
             self._report_corrupt_run,
             sizes,
         )
-        self._manifest = Manifest(folder, self._next_number, sizes.logged)
+        self._manifest = Manifest(folder, self._next_number, sizes.log_bytes)
         self._recover()
 
     def __len__(self) -> int:
@@ -223,7 +223,7 @@
                 continue
             state.segments[number] = [start, size]
             state.position = state.position or pack_position(number, HEAD.size)
-            state.appendable = intact and size < self._sizes.sealed
+            state.appendable = intact and size < self._sizes.segment_bytes
             if self._index.wants_flush():  # bounds the memory where many records lie after the checkpoint
                 with contextlib.suppress(OSError):
                     for _ in self._flush():
@@ -316,9 +316,9 @@
     def append(self, kept: Kept) -> None:
         """Records a document as the last of its destination."""
         state = self._states.get(kept.destination) or DestinationState()
-        if len(self._index.memtable) >= 2 * self._sizes.flushed:
+        if len(self._index.memtable) >= 2 * self._sizes.flush_documents:
             self.step()  # bounds the memory even if the caller never calls step()
-            if len(self._index.memtable) >= 4 * self._sizes.flushed:
+            if len(self._index.memtable) >= 4 * self._sizes.flush_documents:
                 raise OSError("the index of the backlog cannot be written")
         try:
             data, header = frame(kept), b""
@@ -326,7 +326,7 @@
             raise OSError(f"document cannot be encoded: {problem}") from problem
         number = next(reversed(state.segments), 0)
         size = state.segments[number][1] if state.appendable else 0
-        if not state.appendable or size + len(data) > self._sizes.sealed and size > HEAD.size:
+        if not state.appendable or size + len(data) > self._sizes.segment_bytes and size > HEAD.size:
             number, size = self._next_number(), HEAD.size
             header = head(number)
         position = pack_position(number, size)
@@ -411,7 +411,7 @@
                     exhausted = False
                     break
                 found.append(kept)
-            limit_reached = end >> 32 != begin >> 32 or end - begin >= self._sizes.passed
+            limit_reached = end >> 32 != begin >> 32 or end - begin >= self._sizes.scan_bytes
             if limit_reached and len(records) > 1:
                 exhausted = False
                 break
@@ -446,17 +446,22 @@
                     if isinstance(record, Kept) and record.destination == destination:
                         yield (
                             pack_position(number, begin),
-                            pack_position(number, scanner.past),
+                            pack_position(number, scanner.end_offset),
                             ordinal,
                             record,
                         )
                         ordinal += 1
             for begin, record in scanner.end():
                 if isinstance(record, Kept) and record.destination == destination:
-                    yield pack_position(number, begin), pack_position(number, scanner.past), ordinal, record
+                    yield (
+                        pack_position(number, begin),
+                        pack_position(number, scanner.end_offset),
+                        ordinal,
+                        record,
+                    )
                     ordinal += 1
             for damage in scanner.damages:
-                if damage.rot:
+                if damage.corruption:
                     self._report_damage(name, number, damage.start, damage.end)
 
     def _report_damage(self, name: str, number: int, start: int, end: int) -> None:
@@ -575,7 +580,7 @@
         self._now = max(self._now, now)
         found = [kept for _, kept in self._offered.values()][:most]
         limit = expiry_limit(now)
-        for _ in range(self._sizes.popped):
+        for _ in range(self._sizes.scan_entries):
             top = self._index.top()
             if len(found) >= most or top is None or top >= limit:
                 break
@@ -595,8 +600,8 @@
         name, offset = segment_name(destination, position >> 32), position & OFFSET_MASK
         try:
             data = self._folder.read_at(name, offset, DOCUMENT_READ_SIZE)
-            if framed(data) > len(data):
-                data = self._folder.read_at(name, offset, framed(data))
+            if frame_length(data) > len(data):
+                data = self._folder.read_at(name, offset, frame_length(data))
         except FileNotFoundError:
             return None
         kept = unframe(data)
@@ -736,7 +741,9 @@
                 self._possibly_empty.discard(destination)
             return True
         index = self._index
-        flush_needed = index.frozen or index.wants_flush() or self._unindexed_bytes > self._sizes.unmarked
+        flush_needed = (
+            index.frozen or index.wants_flush() or self._unindexed_bytes > self._sizes.unindexed_bytes
+        )
         if flush_needed and "flush" not in self._jobs:
             self._jobs["flush"] = self._flush()
         if self._corrupt_runs and "rebuild" not in self._jobs:
@@ -834,7 +841,7 @@
                     entry = time_entry(kept.expiry, destination, begin)
                     if not self._has_ended(entry, begin):
                         index.memtable.add(hash_id(kept.id), entry)
-                    if scanned >= self._sizes.popped // 8:
+                    if scanned >= self._sizes.scan_entries // 8:
                         more = True
                         break
                 yield
@@ -842,7 +849,7 @@
                     yield
         until = self._flush_count + 2  # the first flush may be of entries frozen before the rebuild
         while self._flush_count < until:
-            self._unindexed_bytes = max(self._unindexed_bytes, self._sizes.unmarked + 1)
+            self._unindexed_bytes = max(self._unindexed_bytes, self._sizes.unindexed_bytes + 1)
             yield
         index.drop([*old.values()], lambda: self._manifest.append([Marks([], [], [*old])], required=True))
         self._obsolete_files.extend((run.name, 0) for run in old.values())
--- a/birchstack/ledger/plan.py
+++ b/birchstack/ledger/plan.py
@@ -47,12 +47,12 @@
     Segment numbers only grow; the last segment is appended to, the others are sealed.
     """
 
-    def __init__(self, limit: int, most: int) -> None:
-        """limit: of the folder. most: a segment is sealed before it grows beyond this."""
-        if most <= HEAD.size or limit < 4 * most:
-            raise ValueError(f"a limit of {limit} bytes is less than four segments of {most}")
+    def __init__(self, limit: int, segment_limit: int) -> None:
+        """limit: of the folder. segment_limit: a segment is sealed before it grows beyond this."""
+        if segment_limit <= HEAD.size or limit < 4 * segment_limit:
+            raise ValueError(f"a limit of {limit} bytes is less than four segments of {segment_limit}")
         self._limit = limit
-        self._segment_limit = most
+        self._segment_limit = segment_limit
         self.segments: dict[int, Segment] = {}
         self._appended = self._copied = 0
         self.victim: int | None = None  # the segment being compacted
--- a/birchstack/ledger/records.py
+++ b/birchstack/ledger/records.py
@@ -232,7 +232,7 @@
         return None
 
 
-def framed(data: bytes) -> int:
+def frame_length(data: bytes) -> int:
     """Returns the length of the record whose frame begins the data, unchecked; 0 if none does."""
     if len(data) < FRAME.size:
         return 0
@@ -241,27 +241,27 @@
 
 
 class Damage(msgspec.Struct, frozen=True):
-    """Bytes from start up to end that are no valid record. rot: whether a valid record follows them."""
+    """Bytes from start up to end that are no valid record. corruption: whether a valid record follows."""
 
     start: int
     end: int
-    rot: bool
+    corruption: bool
 
 
 class Scanner:
     """Finds the records of a segment that is fed in pieces, without its header.
 
     Yields (offset, record); damages is complete after end(). Holds at most one record and one piece. Offsets
-    count from the start of the segment; a scan may begin at the offset of any record. past is the offset
-    after the last record that was yielded.
+    count from the start of the segment; a scan may begin at the offset of any record. end_offset is the
+    offset after the last record that was yielded.
     """
 
-    def __init__(self, number: int, at: int = HEAD.size) -> None:
+    def __init__(self, number: int, offset: int = HEAD.size) -> None:
         self.number = number
         self.damages = []
-        self.past = at
+        self.end_offset = offset
         self._buffer = bytearray()
-        self._offset = at  # of the buffer's first byte
+        self._offset = offset  # of the buffer's first byte
         self._damage_start: int | None = None  # of the damage that has not ended yet
 
     def feed(self, data: bytes) -> Iterator[tuple[int, Record]]:
@@ -275,7 +275,9 @@
         if self._buffer and self._damage_start is None:
             self._damage_start = self._offset
         if self._damage_start is not None:
-            self.damages.append(Damage(self._damage_start, self._offset + len(self._buffer), rot=False))
+            self.damages.append(
+                Damage(self._damage_start, self._offset + len(self._buffer), corruption=False)
+            )
         self._buffer.clear()
 
     def _records(self, last: bool) -> Iterator[tuple[int, Record]]:
@@ -294,9 +296,9 @@
                 position = next_marker
                 continue
             if self._damage_start is not None:
-                self.damages.append(Damage(self._damage_start, self._offset + position, rot=True))
+                self.damages.append(Damage(self._damage_start, self._offset + position, corruption=True))
                 self._damage_start = None
-            self.past = self._offset + position + length
+            self.end_offset = self._offset + position + length
             yield self._offset + position, record
             position += length
         self._offset += position
--- a/tests/backlog_kills.py
+++ b/tests/backlog_kills.py
@@ -21,7 +21,7 @@
 from birchstack.ledger.records import Kept
 from birchstack.net.machine import Folder
 
-SIZES = Sizes(sealed=20_000, flushed=100, unmarked=40_000, fan=3)
+SIZES = Sizes(segment_bytes=20_000, flush_documents=100, unindexed_bytes=40_000, merge_fan_in=3)
 ROOM = Settings(window=1, bytes=1 << 30)
 DESTINATIONS = 5
 NO_EXPIRY = 1e9  # later than any document's expiry in a run
--- a/tests/fake.py
+++ b/tests/fake.py
@@ -456,7 +456,15 @@
 
 # The backlog on disk, small enough that a short story seals, flushes and merges
 
-SMALL = Sizes(sealed=700, flushed=6, unmarked=2000, fan=3, passed=1500, popped=16, logged=900)
+SMALL = Sizes(
+    segment_bytes=700,
+    flush_documents=6,
+    unindexed_bytes=2000,
+    merge_fan_in=3,
+    scan_bytes=1500,
+    scan_entries=16,
+    log_bytes=900,
+)
 ROOM = backlog_settings.Settings(window=1, bytes=1 << 30)
 
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from birchstack.backlog import left, model
+from birchstack.backlog import contains_documents, model
 from birchstack.backlog.plan import Sizes
 from birchstack.backlog.store import Backlog
 from birchstack.emulator.folder import Disk
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_store_equals_model_over_many_documents_in_a_real_folder(tmp_path, seed):
     generator, reference = random.Random(seed), model.Backlog()
-    sizes = Sizes(sealed=20_000, flushed=100, unmarked=50_000, fan=3)
+    sizes = Sizes(segment_bytes=20_000, flush_documents=100, unindexed_bytes=50_000, merge_fan_in=3)
     store = Backlog(Folder(str(tmp_path)), ROOM, 0.0, sizes)
     for number in range(1500):
         document = kept(
@@ -161,4 +161,4 @@
     assert not len(store) and store.next_due() == float("inf")
     store.close()
     assert not [*tmp_path.iterdir()]
-    assert not left(each.name for each in tmp_path.iterdir())
+    assert not contains_documents(each.name for each in tmp_path.iterdir())
--- a/tests/test_backlog_bounds.py
+++ b/tests/test_backlog_bounds.py
@@ -9,7 +9,7 @@
 import pytest
 from fake import ROOM, kept, opened, settle
 
-from birchstack.backlog import left
+from birchstack.backlog import contains_documents
 from birchstack.backlog.plan import IDS, PAGE_SIZE, Run, Sizes, parse_name, select_merge
 from birchstack.backlog.settings import decode, load
 from birchstack.backlog.store import Backlog
@@ -17,7 +17,7 @@
 from birchstack.net.config import ConfigError
 from birchstack.net.machine import Folder
 
-SIZES = Sizes(sealed=1 << 16, flushed=256, unmarked=1 << 20, fan=4)
+SIZES = Sizes(segment_bytes=1 << 16, flush_documents=256, unindexed_bytes=1 << 20, merge_fan_in=4)
 
 
 def fill(store, numbers, destinations=20):
@@ -53,7 +53,7 @@
 
     def read_at(self, name, offset, size):
         data = super().read_at(name, offset, size)
-        self.bytes["segments" if left([name]) else parse_name(name)[0]] += len(data)
+        self.bytes["segments" if contains_documents([name]) else parse_name(name)[0]] += len(data)
         self.calls += 1
         return data
 
@@ -71,7 +71,7 @@
     settle(store)
     folder = CountingFolder(disk)
     assert len(Backlog(folder, ROOM, 0.0, SIZES)) == count
-    segment_bytes = sum(len(data) for name, data in disk.files.items() if left([name]))
+    segment_bytes = sum(len(data) for name, data in disk.files.items() if contains_documents([name]))
     return folder, segment_bytes, store
 
 
@@ -81,7 +81,7 @@
         folder, segment_bytes, store = restart_counting(count, 20, body)
         runs = store._index.runs.values()
         # Only the records after the last checkpoint are read
-        assert folder.bytes["segments"] < SIZES.flushed * (body + 100) < segment_bytes / 10
+        assert folder.bytes["segments"] < SIZES.flush_documents * (body + 100) < segment_bytes / 10
         assert folder.bytes["ids"] == sum(run.size - run.filter_offset for run in runs) < 3 * count
         assert folder.bytes["times"] <= sum((run.pages.bit_length() + 2) * PAGE_SIZE for run in runs)
         manifest_bytes.append(folder.bytes["manifest"])
@@ -91,7 +91,7 @@
 def test_at_a_restart_more_destinations_cost_no_reads_of_whole_files():
     few, many = restart_counting(4000, 10)[0], restart_counting(4000, 400)[0]
     assert many.calls < few.calls + 2 * 400
-    assert many.bytes["segments"] < SIZES.flushed * 200
+    assert many.bytes["segments"] < SIZES.flush_documents * 200
 
 
 def test_a_destination_with_nine_tenths_of_the_documents_does_not_hold_up_the_others():
@@ -108,7 +108,7 @@
             store.moved(destination, len(got))
             store.step()
     settle(store)
-    assert not len(store) and not left(disk.files)
+    assert not len(store) and not contains_documents(disk.files)
 
 
 def test_the_bytes_that_one_step_writes_are_bounded():
@@ -121,7 +121,7 @@
         return original_append(handle, data)
 
     folder.append = append
-    store = Backlog(folder, ROOM, 0.0, SIZES._replace(fan=2))
+    store = Backlog(folder, ROOM, 0.0, SIZES._replace(merge_fan_in=2))
     for number in range(20_000):
         store.append(kept(number, number % 5, 1e6, b""))
         written.append(0)
@@ -134,7 +134,7 @@
 
 
 def test_runs_of_one_size_are_merged_and_all_runs_once_most_entries_are_obsolete():
-    sizes = Sizes(flushed=10, fan=3)
+    sizes = Sizes(flush_documents=10, merge_fan_in=3)
     assert not select_merge([run(1, 10), run(2, 10), run(3, 100)], 120, sizes)
     four = [run(1, 10), run(2, 100), run(3, 10), run(4, 10)]
     assert select_merge(four, 130, sizes) == [four[0], four[2], four[3]]
@@ -144,7 +144,7 @@
 
 def test_housekeeping_completes_where_many_documents_expired_after_one_that_has_not():
     """The first record stays, so the entries after it cannot be dropped; merging them must not repeat."""
-    store = opened(Disk(), SIZES._replace(flushed=16))
+    store = opened(Disk(), SIZES._replace(flush_documents=16))
     for number in range(600):
         store.append(kept(number, 1, 1e6 if number == 0 else 100.0 + number))
     expired = True
@@ -159,7 +159,9 @@
     assert parse_name("backlog-ids-7") == ("ids", 7) and parse_name("backlog-12-7") == ("12", 7)
     assert parse_name("backlog-manifest-1") == ("manifest", 1)
     assert not parse_name("ledger") and not parse_name("backlog-ballast")
-    assert left(["ledger", "backlog-3-9"]) and not left(["body-3", "backlog-ids-7", "backlog-manifest-1"])
+    assert contains_documents(["ledger", "backlog-3-9"]) and not contains_documents(
+        ["body-3", "backlog-ids-7", "backlog-manifest-1"]
+    )
 
 
 def test_an_error_in_the_operators_file_is_named(tmp_path):
--- a/tests/test_backlog_crash.py
+++ b/tests/test_backlog_crash.py
@@ -12,7 +12,7 @@
 from birchstack.ledger.records import HEAD
 from tests import backlog_kills
 
-SIZES = SMALL._replace(sealed=1500, flushed=10, unmarked=6000)
+SIZES = SMALL._replace(segment_bytes=1500, flush_documents=10, unindexed_bytes=6000)
 
 
 class ScriptedRun:
--- a/tests/test_ledger_records.py
+++ b/tests/test_ledger_records.py
@@ -72,7 +72,7 @@
     cut = data.draw(strategies.integers(1, len(frames[-1]) - 1))
     scanner, found = scan(b"".join(frames)[:-cut], step)
     assert [record for _, record in found] == written[:-1]
-    assert [(each.start, each.end, each.rot) for each in scanner.damages] == [
+    assert [(each.start, each.end, each.corruption) for each in scanner.damages] == [
         (HEAD.size + sum(map(len, frames[:-1])), HEAD.size + sum(map(len, frames)) - cut, False)
     ]
 
@@ -91,7 +91,7 @@
     scanner, found = scan(b"".join([*frames[:damaged], bytes(corrupted), *frames[damaged + 1 :]]), step)
     start = HEAD.size + sum(map(len, frames[:damaged]))
     assert [record for _, record in found] == written[:damaged] + written[damaged + 1 :]
-    assert [(each.start, each.end, each.rot) for each in scanner.damages] == [
+    assert [(each.start, each.end, each.corruption) for each in scanner.damages] == [
         (start, start + len(corrupted), True)
     ]
 
--- a/tests/test_overflow.py
+++ b/tests/test_overflow.py
@@ -10,7 +10,7 @@
 from fake import SETTINGS, World, answer, post, read_message
 
 from birchstack.backlog import settings
-from birchstack.backlog.maker import maker
+from birchstack.backlog.maker import store_factory
 from birchstack.emulator.scenario import WRITES, DocumentType, Scenario, Trouble, draw
 from birchstack.emulator.virtual import VirtualDay
 
@@ -25,7 +25,11 @@
     """A maker of stores that counts what went through them."""
 
     def __init__(self, window=4):
-        self._make, self.kept, self.stores = maker(settings.Settings(window=window, bytes=ROOM)), 0, []
+        self._make, self.kept, self.stores = (
+            store_factory(settings.Settings(window=window, bytes=ROOM)),
+            0,
+            [],
+        )
 
     def __call__(self, folder, now):
         made = self._make(folder, now)
