--- a/birchstack/backlog/index.py
+++ b/birchstack/backlog/index.py
@@ -231,7 +231,8 @@
 
     def freeze(self) -> None:
         """Starts a new memtable; the present one is kept for flush()."""
-        self.frozen, self.memtable = self.memtable, Memtable()
+        self.frozen = self.memtable
+        self.memtable = Memtable()
 
     def wants_flush(self) -> bool:
         """Returns whether the memtable is full."""
--- a/birchstack/backlog/manifest.py
+++ b/birchstack/backlog/manifest.py
@@ -51,9 +51,11 @@
         files = sorted(
             (parse_name(name)[1], name) for name in names if name.startswith(MANIFEST) and parse_name(name)
         )
-        self._ballast, best = BALLAST in names, None
+        self._ballast = BALLAST in names
+        best = None
         for number, name in reversed(files):
-            scanner, found = Scanner(number), []
+            scanner = Scanner(number)
+            found = []
             size = self._folder.size(name)
             for offset in range(HEAD.size, size, READ_SIZE):
                 found += [record for _, record in scanner.feed(self._folder.read_at(name, offset, READ_SIZE))]
@@ -102,7 +104,8 @@
             self._pending.append(data)
             self.pending_bytes += len(data)
             return False
-        self._pending, self.pending_bytes = [], 0
+        self._pending = []
+        self.pending_bytes = 0
         return True
 
     def _write(self, data: bytes) -> None:
@@ -137,7 +140,8 @@
         Raises OSError, and then the old file stays in use.
         """
         number = self._next_number()
-        name, data = f"{MANIFEST}-{number}", head(number) + b"".join(map(frame, records))
+        name = f"{MANIFEST}-{number}"
+        data = head(number) + b"".join(map(frame, records))
         file = -1
         try:
             file = self._folder.open(name, fresh=True)
@@ -148,11 +152,16 @@
             with contextlib.suppress(OSError):
                 self._folder.unlink(name)
             raise
-        old, self.name = self.name, name
+        old = self.name
+        self.name = name
         if self._file >= 0:
             self._folder.close(self._file)
-        self._file, self._snapshot_bytes, self._log_bytes, self.torn = file, len(data), 0, False
-        self._pending, self.pending_bytes = [], 0
+        self._file = file
+        self._snapshot_bytes = len(data)
+        self._log_bytes = 0
+        self.torn = False
+        self._pending = []
+        self.pending_bytes = 0
         return old
 
     def reserve_ballast(self) -> bool:
--- a/birchstack/backlog/replay.py
+++ b/birchstack/backlog/replay.py
@@ -71,11 +71,9 @@
                         segments={each: [start, 0] for each, start in segments},
                     )
             elif isinstance(record, Whole):
-                self.last_number, self.watermark, self.obsolete_files = (
-                    record.next,
-                    record.mark,
-                    set(record.past),
-                )
+                self.last_number = record.next
+                self.watermark = record.mark
+                self.obsolete_files = set(record.past)
                 self.ended = {TIME_ENTRY.unpack(entry)[2]: entry for entry in record.ended}
             elif isinstance(record, Marks):
                 self._apply_marks(record)
--- a/birchstack/backlog/runs.py
+++ b/birchstack/backlog/runs.py
@@ -53,7 +53,8 @@
 
 def load_filter(folder: Folder, run: Run) -> Bloom:
     """Reads the Bloom filter of a run of ids."""
-    scanner, found = Scanner(run.number, run.filter_offset), []
+    scanner = Scanner(run.number, run.filter_offset)
+    found = []
     for offset in range(run.filter_offset, run.size, FILTER_PIECE_SIZE):
         found += scanner.feed(folder.read_at(run.name, offset, min(FILTER_PIECE_SIZE, run.size - offset)))
     found += scanner.end()
@@ -85,14 +86,18 @@
                 if bloom is not None:
                     bloom.add(int.from_bytes(entry[:8], "big"))
             if work >= ENTRIES_PER_STEP:
-                work, full = 0, len(buffered) - len(buffered) % ENTRIES_PER_PAGE
+                work = 0
+                full = len(buffered) - len(buffered) % ENTRIES_PER_PAGE
                 data = _encode_pages(buffered[:full])
                 if data:
                     append_all(folder, handle, data)
-                count, size, buffered = count + full, size + len(data), buffered[full:]
+                count += full
+                size += len(data)
+                buffered = buffered[full:]
                 yield
         data = _encode_pages(buffered)
-        count, filter_offset = count + len(buffered), size + len(data)
+        count += len(buffered)
+        filter_offset = size + len(data)
         if data:
             append_all(folder, handle, data)
         size = filter_offset
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -254,7 +254,8 @@
         )
         begin = end = offset
         for position, end_position, _, kept in self._scan(destination, tail):
-            state.total, end = state.total + 1, end_position & OFFSET_MASK
+            state.total += 1
+            end = end_position & OFFSET_MASK
             entry = time_entry(kept.expiry, destination, position)
             if position >= state.position and not self._has_ended(entry, position):
                 self._index_document(kept.id, entry, destination, end - begin)
@@ -321,13 +322,15 @@
             if len(self._index.memtable) >= 4 * self._sizes.flush_documents:
                 raise OSError("the index of the backlog cannot be written")
         try:
-            data, header = frame(kept), b""
+            data = frame(kept)
+            header = b""
         except UnicodeError as problem:  # a text with a lone surrogate
             raise OSError(f"document cannot be encoded: {problem}") from problem
         number = next(reversed(state.segments), 0)
         size = state.segments[number][1] if state.appendable else 0
         if not state.appendable or size + len(data) > self._sizes.segment_bytes and size > HEAD.size:
-            number, size = self._next_number(), HEAD.size
+            number = self._next_number()
+            size = HEAD.size
             header = head(number)
         position = pack_position(number, size)
         # An entry below the watermark would count as ended: the expiry moves to just after the watermark's,
@@ -355,8 +358,10 @@
         self._states[kept.destination] = state
         self._used_bytes += allocated_size(size + len(data)) - allocated_size(size)
         state.segments[number][1] = size + len(data)
-        state.total, state.appendable = state.total + 1, True
-        self._waiting_count, self._retained_count = self._waiting_count + 1, self._retained_count + 1
+        state.total += 1
+        state.appendable = True
+        self._waiting_count += 1
+        self._retained_count += 1
         self._index_document(
             kept.id, time_entry(kept.expiry, kept.destination, position), kept.destination, len(data)
         )
@@ -400,7 +405,9 @@
         self, destination: int, state: DestinationState, most: int
     ) -> tuple[list[ReadRecord], list[Kept]]:
         """Reads the first documents that wait; the start position moves past ended records before them."""
-        records, found, exhausted = [], [], True
+        records = []
+        found = []
+        exhausted = True
         begin = state.position
         for position, end, ordinal, kept in self._scan(destination, state):
             entry = time_entry(kept.expiry, destination, position)
@@ -431,7 +438,8 @@
         for number, (start, size) in state.segments.items():
             if number != first:
                 offset, ordinal = HEAD.size, start
-            scanner, name = Scanner(number, offset), segment_name(destination, number)
+            scanner = Scanner(number, offset)
+            name = segment_name(destination, number)
             read_size = FIRST_READ_SIZE
             while offset < size:
                 try:
@@ -441,7 +449,8 @@
                 if not data:
                     self._report_damage(name, number, offset, size)
                     break
-                offset, read_size = offset + len(data), READ_SIZE
+                offset += len(data)
+                read_size = READ_SIZE
                 for begin, record in scanner.feed(data):
                     if isinstance(record, Kept) and record.destination == destination:
                         yield (
@@ -506,7 +515,8 @@
         )
         ended = state.ended - sum(self._has_ended(each.entry, each.position) for each in records)
         if exhausted or ordinal == state.total:
-            ordinal, exhausted = state.total, True
+            ordinal = state.total
+            exhausted = True
         unreadable = ordinal - state.ordinal - len(records)
         counted_lost = min(unreadable, state.lost)
         if not (state.has_losses or unreadable) and state.total - ordinal == ended:
@@ -533,7 +543,8 @@
 
     def _count_lost(self, destination: int, state: DestinationState, count: int) -> None:
         """Counts documents whose records are no longer readable."""
-        self.lost, state.has_losses = self.lost + count, True
+        self.lost += count
+        state.has_losses = True
         say(
             log,
             "documents lost",
@@ -559,12 +570,15 @@
     def _clear(self) -> None:
         """Drops the runs and all ended entries once no document waits."""
         self._waiting_count = self._retained_count = 0
-        self._ended, self._ended_heap, self._offered = {}, [], {}
+        self._ended = {}
+        self._ended_heap = []
+        self._offered = {}
         for name in list(self._jobs):
             self._cancel_job(name)
         runs = [*self._index.clear(), *self._corrupt_runs.values()]
         self._corrupt_runs = {}
-        self._unindexed_destinations, self._unindexed_bytes = set(), 0
+        self._unindexed_destinations = set()
+        self._unindexed_bytes = 0
         if runs:
             self._manifest.append([Marks([], [], [run.number for run in runs])], required=False)
         for run in runs:
@@ -597,7 +611,8 @@
 
     def _read_document(self, destination: int, position: int) -> Kept | None:
         """Returns the document at a position, or None if its record is not readable."""
-        name, offset = segment_name(destination, position >> 32), position & OFFSET_MASK
+        name = segment_name(destination, position >> 32)
+        offset = position & OFFSET_MASK
         try:
             data = self._folder.read_at(name, offset, DOCUMENT_READ_SIZE)
             if frame_length(data) > len(data):
@@ -617,7 +632,9 @@
             start=position & OFFSET_MASK,
         )
         state = self._states[destination]
-        state.has_losses, state.lost, self.lost = True, state.lost + 1, self.lost + 1
+        state.has_losses = True
+        state.lost += 1
+        self.lost += 1
         self._record_ended([entry])
 
     def ended(self, ids: Iterable[str]) -> None:
@@ -712,11 +729,13 @@
         A piece that fails with an OSError is tried again in a later step.
         """
         try:
-            more, self._step_failed = self._step(), False
+            more = self._step()
+            self._step_failed = False
         except OSError as problem:
             if not self._step_failed:
                 say(log, "housekeeping put off", logging.ERROR, problem=problem)
-            more, self._step_failed = False, True
+            more = False
+            self._step_failed = True
         return more
 
     def _step(self) -> bool:
@@ -785,7 +804,8 @@
                     self._flush_checkpoints.append(
                         (destination, state, number, state.segments[number][1], state.total)
                     )
-            self._unindexed_destinations, self._unindexed_bytes = set(), 0
+            self._unindexed_destinations = set()
+            self._unindexed_bytes = 0
 
         def record(added: list[Run], removed: list[Run]) -> None:
             marks = []
@@ -827,9 +847,11 @@
         index = self._index
         old = {**self._index.runs, **self._corrupt_runs}
         for destination, state in list(self._states.items()):
-            position, more = state.position, True
+            position = state.position
+            more = True
             while more and self._states.get(destination) is state:
-                scanned, more = 0, False
+                scanned = 0
+                more = False
                 remaining = DestinationState(
                     position=max(position, state.position),
                     segments={
@@ -837,7 +859,8 @@
                     },
                 )
                 for begin, end, _, kept in self._scan(destination, remaining):
-                    position, scanned = end, scanned + 1
+                    position = end
+                    scanned += 1
                     entry = time_entry(kept.expiry, destination, begin)
                     if not self._has_ended(entry, begin):
                         index.memtable.add(hash_id(kept.id), entry)
--- a/tests/backlog_kills.py
+++ b/tests/backlog_kills.py
@@ -46,7 +46,8 @@
 
 def run_child(path, seed):
     """Uses the backlog until the process is killed; files note the documents begun, taken and moved."""
-    store, generator = open_backlog(path), random.Random(seed)
+    store = open_backlog(path)
+    generator = random.Random(seed)
     files = {
         name: os.open(os.path.join(path, name), os.O_WRONLY | os.O_CREAT | os.O_APPEND)
         for name in ("own", "taken", "begun")
@@ -93,7 +94,8 @@
             time.sleep(generator.random() * 0.06)
             process.send_signal(signal.SIGKILL)
             process.communicate()
-        store, found = open_backlog(path), []
+        store = open_backlog(path)
+        found = []
         for destination in [*store.destinations()]:
             while store.waiting(destination)[0]:
                 documents = store.read(destination, 64)
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -20,8 +20,11 @@
 
     def __init__(self):
         super().__init__()
-        self.disk, self.now, self.number = Disk(), 0.0, 0
-        self.store, self.model = opened(self.disk), model.Backlog()
+        self.disk = Disk()
+        self.now = 0.0
+        self.number = 0
+        self.store = opened(self.disk)
+        self.model = model.Backlog()
 
     @rule(
         destination=strategies.integers(0, 3),
@@ -123,7 +126,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_store_equals_model_over_many_documents_in_a_real_folder(tmp_path, seed):
-    generator, reference = random.Random(seed), model.Backlog()
+    generator = random.Random(seed)
+    reference = model.Backlog()
     sizes = Sizes(segment_bytes=20_000, flush_documents=100, unindexed_bytes=50_000, merge_fan_in=3)
     store = Backlog(Folder(str(tmp_path)), ROOM, 0.0, sizes)
     for number in range(1500):
--- a/tests/test_backlog_bounds.py
+++ b/tests/test_backlog_bounds.py
@@ -49,7 +49,8 @@
 
     def __init__(self, disk):
         super().__init__(disk)
-        self.bytes, self.calls = collections.Counter(), 0
+        self.bytes = collections.Counter()
+        self.calls = 0
 
     def read_at(self, name, offset, size):
         data = super().read_at(name, offset, size)
@@ -96,7 +97,8 @@
 
 def test_a_destination_with_nine_tenths_of_the_documents_does_not_hold_up_the_others():
     disk = Disk()
-    store, generator = opened(disk, SIZES), random.Random(2)
+    store = opened(disk, SIZES)
+    generator = random.Random(2)
     for number in range(3000):
         store.append(kept(number, 0 if generator.random() < 0.9 else 1 + number % 9, body=b"b" * 100))
         store.step()
@@ -113,7 +115,8 @@
 
 def test_the_bytes_that_one_step_writes_are_bounded():
     """No step writes more than a piece of a run, or a filter, however many documents wait."""
-    written, folder = [0], MemoryFolder(Disk())
+    written = [0]
+    folder = MemoryFolder(Disk())
     original_append = folder.append
 
     def append(handle, data):
--- a/tests/test_backlog_crash.py
+++ b/tests/test_backlog_crash.py
@@ -25,8 +25,12 @@
     folder = staticmethod(MemoryFolder)
 
     def __init__(self, disk, seed=1, steps=260):
-        self.disk, self.generator, self.steps = disk, random.Random(seed), steps
-        self.waiting, self.in_ledger, self.appending = {}, {}, None
+        self.disk = disk
+        self.generator = random.Random(seed)
+        self.steps = steps
+        self.waiting = {}
+        self.in_ledger = {}
+        self.appending = None
         self.now = 0.0
 
     def start(self):
@@ -51,7 +55,8 @@
                 )
                 self.appending = document
                 self.store.append(document)
-                self.waiting[document.id], self.appending = document, None
+                self.waiting[document.id] = document
+                self.appending = None
             if self.generator.random() < 0.25:
                 destination = self.generator.randrange(1, 4)
                 got = self.store.read(destination, 12)
@@ -107,7 +112,8 @@
 
     def __init__(self, disk, before_change):
         super().__init__(disk)
-        self._before_change, self._names = before_change, {}
+        self._before_change = before_change
+        self._names = {}
 
     def open(self, name, fresh=False):
         if fresh or name not in self._disk.files:
@@ -148,13 +154,13 @@
             self.restart_and_check(files, by_time=(self.changes + how) % 2 == 0)
 
     def restart_and_check(self, files, by_time):
-        run, self.points = ScriptedRun(Disk()), self.points + 1
-        run.disk.files, run.now = files, self.run.now
-        run.waiting, run.in_ledger, run.appending = (
-            dict(self.run.waiting),
-            dict(self.run.in_ledger),
-            self.run.appending,
-        )
+        run = ScriptedRun(Disk())
+        self.points += 1
+        run.disk.files = files
+        run.now = self.run.now
+        run.waiting = dict(self.run.waiting)
+        run.in_ledger = dict(self.run.in_ledger)
+        run.appending = self.run.appending
         run.start()
         run.check(by_time)
 
@@ -224,7 +230,8 @@
     disk, _ = filled()
     name = segments(disk, 2)[0]
     del disk.files[name]
-    store, found = opened(disk, SIZES), []
+    store = opened(disk, SIZES)
+    found = []
     while store.next_due() < inf:
         batch = [each.id for each in store.due(1e9, 9)]
         found += batch
@@ -329,7 +336,8 @@
 def test_fits_follows_the_free_room():
     room = ROOM.__class__(window=1, bytes=16 << 20)
     disk = Disk()
-    store, number = opened(disk, Sizes(), room), 0
+    store = opened(disk, Sizes(), room)
+    number = 0
     while store.fits([60_000]):
         store.append(kept(number, number % 5, body=b"x" * 60_000))
         number += 1
--- a/tests/test_ledger_plan.py
+++ b/tests/test_ledger_plan.py
@@ -15,7 +15,10 @@
     """A log of sizes without files: each document by id is one record in some segment."""
 
     def __init__(self, limit=64000, most=4000):
-        self.plan, self.limit, self.records, self.most_used = Plan(limit, most), limit, {}, 0
+        self.plan = Plan(limit, most)
+        self.limit = limit
+        self.records = {}
+        self.most_used = 0
 
     def write(self, size, needed, copied=False):
         if self.plan.rolls(size):
@@ -73,7 +76,8 @@
 
 
 def test_a_folder_filled_to_its_limit_can_be_emptied():
-    log, taken = SimulatedLog(), 0
+    log = SimulatedLog()
+    taken = 0
     while log.take(taken, 700):
         taken += 1
     assert taken > 60 and log.plan.used() <= log.limit
@@ -99,7 +103,8 @@
 
 
 def test_amplification_under_steady_traffic():
-    log, generator = SimulatedLog(limit=400_000, most=16_000), random.Random(1)
+    log = SimulatedLog(limit=400_000, most=16_000)
+    generator = random.Random(1)
     for number in range(20_000):
         log.take(number, 1000)
         while len(log.records) > 100:  # documents are done in random order
--- a/tests/test_ledger_records.py
+++ b/tests/test_ledger_records.py
@@ -18,7 +18,8 @@
     head,
 )
 
-names, times = strategies.text(max_size=40), strategies.floats(allow_nan=False)
+names = strategies.text(max_size=40)
+times = strategies.floats(allow_nan=False)
 RECORDS = strategies.one_of(
     strategies.builds(
         Take,
@@ -47,7 +48,8 @@
 
 
 def scan(data, step=7):
-    scanner, found = Scanner(1), []
+    scanner = Scanner(1)
+    found = []
     for start in range(0, len(data), step):
         found += scanner.feed(data[start : start + step])
     found += scanner.end()
@@ -82,10 +84,8 @@
 def test_corruption_in_the_middle_is_reported_as_such_and_the_rest_is_read(written, data, step):
     frames = [frame(each) for each in written]
     damaged = data.draw(strategies.integers(0, len(frames) - 2))
-    byte, bit = (
-        data.draw(strategies.integers(0, len(frames[damaged]) - 1)),
-        data.draw(strategies.integers(0, 7)),
-    )
+    byte = data.draw(strategies.integers(0, len(frames[damaged]) - 1))
+    bit = data.draw(strategies.integers(0, 7))
     corrupted = bytearray(frames[damaged])
     corrupted[byte] ^= 1 << bit
     scanner, found = scan(b"".join([*frames[:damaged], bytes(corrupted), *frames[damaged + 1 :]]), step)
@@ -112,7 +112,8 @@
 
 
 def test_a_scanner_holds_at_most_a_record_and_a_piece():
-    scanner, most = Scanner(1), 0
+    scanner = Scanner(1)
+    most = 0
     data = b"".join(frame(Take(f"d{n}", "sync", 1, None, 1.0, 500, b"x" * 500)) for n in range(2000))
     for start in range(0, len(data), 4096):
         for _ in scanner.feed(data[start : start + 4096]):
