--- a/birchstack/backlog/index.py
+++ b/birchstack/backlog/index.py
@@ -30,6 +30,8 @@
 )
 from birchstack.net.machine import Folder
 
+DENSE_SHARE = 0.9  # a merge that keeps a larger share of the entries left the runs nearly as they were
+
 
 class Memtable:
     """Entries that are in no run yet. The store bounds it by flushing."""
@@ -187,7 +189,7 @@
         run, bloom = yield from self._write("merge", kind, expected, entries)
         yield
         self._dense &= self.runs.keys()
-        if run.count > 0.9 * expected:  # the merge removed little
+        if run.count > DENSE_SHARE * expected:
             self._dense.add(run.number)
         self._install([(run, bloom)] if run.count else [], old, watermark, record)
         del self.unfinished_files["merge"]
--- a/birchstack/backlog/model.py
+++ b/birchstack/backlog/model.py
@@ -13,6 +13,8 @@
 
 __all__ = ["Backlog", "Kept"]
 
+RECORD_OVERHEAD_BYTES = 512  # of a document besides its body, an estimate
+
 
 class Backlog:
     """The backlog in memory. Times are on the clock that survives restarts, in milliseconds."""
@@ -36,7 +38,7 @@
     def fits(self, sizes: list[int]) -> bool:
         """Returns whether documents with bodies of these sizes fit."""
         all_sizes = [*sizes, *(len(kept.body) for kept in self._documents.values())]
-        return sum(all_sizes) + 512 * len(all_sizes) <= self._capacity_bytes
+        return sum(all_sizes) + RECORD_OVERHEAD_BYTES * len(all_sizes) <= self._capacity_bytes
 
     def append(self, kept: Kept) -> None:
         """Records a document as the last of its destination."""
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -70,6 +70,9 @@
 RECORD_OVERHEAD_BYTES = 256  # bytes of a document's record besides its body
 DESTINATIONS_PER_STATE = 128  # destinations in one State record of a snapshot
 REMOVALS_PER_STEP = 4  # files
+MAX_REPORTED_DAMAGE = 4096  # damaged parts of segments that are logged, and remembered as logged
+BALLAST_RESERVE_BYTES = 1 << 20  # room that documents never take, for the ballast
+MIN_OBSOLETE_ENTRIES = 1024  # in the heap of ended entries, beside a half, before it is rebuilt
 SIZES = Sizes()
 log = logging.getLogger(__name__)
 
@@ -292,7 +295,7 @@
         ballast.
         """
         runs = sum(run.size for run in self._index.runs.values())
-        reserved = runs + 2 * self._manifest.size + (1 << 20)
+        reserved = runs + 2 * self._manifest.size + BALLAST_RESERVE_BYTES
         entries = (
             (sum(map(len, (self._index.memtable, self._index.frozen or ()))) + len(sizes))
             * 4
@@ -475,7 +478,7 @@
 
     def _report_damage(self, name: str, number: int, start: int, end: int) -> None:
         """Logs a corrupted part of a segment once."""
-        if (number, start) not in self._reported_damage and len(self._reported_damage) < 4096:
+        if (number, start) not in self._reported_damage and len(self._reported_damage) < MAX_REPORTED_DAMAGE:
             self._reported_damage.add((number, start))
             say(log, "rot in the backlog", logging.ERROR, file=name, start=start, end=end)
 
@@ -679,7 +682,7 @@
             self._watermark = max(self._watermark, min(limits))
         while self._ended_heap and self._ended_heap[0] < self._watermark:
             self._ended.pop(TIME_ENTRY.unpack(heapq.heappop(self._ended_heap))[2], None)
-        if len(self._ended_heap) > 2 * len(self._ended) + 1024:  # many entries are obsolete
+        if len(self._ended_heap) > 2 * len(self._ended) + MIN_OBSOLETE_ENTRIES:
             self._ended_heap = sorted(self._ended.values())
         emptied = [each for each, state in touched.items() if not state.waiting() and not state.has_losses]
         moves = [Moved(each, 0, next(reversed(touched[each].segments), 0), 0) for each in emptied]
@@ -859,8 +862,7 @@
                     },
                 )
                 for begin, end, _, kept in self._scan(destination, remaining):
-                    position = end
-                    scanned += 1
+                    position, scanned = end, scanned + 1
                     entry = time_entry(kept.expiry, destination, begin)
                     if not self._has_ended(entry, begin):
                         index.memtable.add(hash_id(kept.id), entry)
