--- a/birchstack/backlog/replay.py
+++ b/birchstack/backlog/replay.py
@@ -18,9 +18,7 @@
     """The log of one destination. Ordinals count the records written since the log began."""
 
     total: int = 0  # records written
-    position: int = (
-        0  # start of the waiting documents; the documents of records before it have ended or moved
-    )
+    position: int = 0  # start of the waiting documents; those before it have ended or moved
     ordinal: int = 0  # records before position
     ended: int = 0  # records from position on whose documents have ended
     checkpoint: tuple[int, int] = (0, 0)  # position and ordinal up to which documents are in runs
