--- a/benchmarks/capacity/audit.py
+++ b/benchmarks/capacity/audit.py
@@ -15,7 +15,7 @@
 from birchstack.fleet import settings as fleet_settings
 from birchstack.fleet import wire
 from birchstack.fleet.audit_log import FleetAuditLog
-from birchstack.fleet.records import Damage, scan
+from birchstack.fleet.records import Damage, scan_frames
 from birchstack.net import http1
 from birchstack.net.audit import SenderStatus
 from birchstack.net.config import decode
@@ -40,24 +40,26 @@
     """An audit log and its folder, as net.sender.Node holds them."""
 
     def __init__(self, folder: str) -> None:
-        machine, fleet = Machine(), fleet_settings.Fleet()
+        machine, fleet = Machine(), fleet_settings.FleetSettings()
         raw = site.sender("n1", "127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9", folder, 1, {}, 550)
-        config = fleet_settings.room_for(fleet, decode(raw, {}))
+        config = fleet_settings.reserve_trail_space(fleet, decode(raw, {}))
         self.room = fleet.trail.bytes
         self.audit = FleetAuditLog(
             fleet, config, machine, machine.folder(folder), lambda: SenderStatus(True, 100, 900.0), print
         )
-        self.audit.begins(True)
-        self.audit.settings(config, "start")
-        self.audit.told({"rev": 1, "all": True, "targets": [site.entry("s-5be2a07c", 1)]}, "127.0.0.1:8500")
+        self.audit.start(True)
+        self.audit.record_settings(config, "start")
+        self.audit.record_list(
+            {"rev": 1, "all": True, "targets": [site.entry("s-5be2a07c", 1)]}, "127.0.0.1:8500"
+        )
         self.taken, self.wire_bytes, self.records = 0, 0, 0
 
     def asked(self) -> None:
         """A keeper asks until it has all."""
-        request = http1.request("GET", wire.target(self.taken), "127.0.0.1:7401")
-        answer = self.audit.asked({"after": [str(self.taken)]}, b"")
+        request = http1.request("GET", wire.request_target(self.taken), "127.0.0.1:7401")
+        answer = self.audit.answer_keeper({"after": [str(self.taken)]}, b"")
         piece = wire.decode(answer.content)
-        frames = [each for each in scan(piece.frames) if not isinstance(each, Damage)]
+        frames = [each for each in scan_frames(piece.frames) if not isinstance(each, Damage)]
         self.wire_bytes += len(request) + len(answer.bytes())
         self.records += len(frames)
         if frames:
@@ -79,12 +81,12 @@
                     for at in range(min(together, per_second - first))
                 ]
                 began = time.process_time()
-                sender.audit.turn(calls, [], [])
+                sender.audit.record_turn(calls, [], [])
                 spent_s += time.process_time() - began
                 turns += 1
                 trail += len(before.segments[-1].data) - before.segments[-1].offsets[-1]
             sender.asked()
-        sender.audit.ended()
+        sender.audit.stop()
         if sender.records < turns:
             raise ValueError(f"{sender.records} records came of {turns} turns")
         per_s = trail / seconds
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -61,7 +61,7 @@
     async def listen(self, loop, where, protocol, *how) -> NoDoor:
         return NoDoor()
 
-    def knocked(self, server: NoDoor) -> bool:
+    def has_pending(self, server: NoDoor) -> bool:
         return False
 
     def on_signals(self, loop, end, reload) -> None:
@@ -76,12 +76,12 @@
         self._heard: list[int] = []
         super().__init__(*words)
 
-    def _listed(self, mode: str, listed: list) -> None:
-        super()._listed(mode, listed)
+    def _on_list(self, mode: str, listed: list) -> None:
+        super()._on_list(mode, listed)
         self._heard.append(self._watch._version)
 
-    def _settle(self, now: float) -> None:
-        super()._settle(now)
+    def _commit(self, now: float) -> None:
+        super()._commit(now)
         for version in self._heard:
             self.acted.setdefault(version, time.monotonic())
         self._heard.clear()
@@ -107,8 +107,8 @@
     raw = site.sender(name, "127.0.0.1:9", "127.0.0.1:9", lists, "/", seed, {}, senders)
     config, make = decode(raw, {}), None
     if fleet:
-        told = fleet_settings.Fleet(fleet_settings.Trail(400_000))
-        config, make = fleet_settings.room_for(told, config), audit_log.maker(told)
+        told = fleet_settings.FleetSettings(fleet_settings.TrailSettings(400_000))
+        config, make = fleet_settings.reserve_trail_space(told, config), audit_log.audit_log_factory(told)
     return Hollow(config, loop, HollowMachine(), make)
 
 
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -19,7 +19,7 @@
 from birchstack.emulator.rig.processes import shell
 from birchstack.emulator.rig.real import CLIENT_PORT, Rig
 from birchstack.fleet import wire
-from birchstack.fleet.records import START, Acted, Adopted, Life, frame
+from birchstack.fleet.records import INITIAL_CHAIN, ProcessStart, TurnActions, VersionAdopted, encode_frame
 from birchstack.fleet.versions import LIST, Version
 from birchstack.keeper.questions import Stores
 from birchstack.keeper.store import Store
@@ -151,7 +151,7 @@
                 await rig.quiet()
                 await asyncio.sleep(2.5)
                 stores = Stores([rig.store("k1")], rig.now_ms())
-                known = sum(each.calls for each in stores.acted(1).stretches)
+                known = sum(each.calls for each in stores.activity(1).stretches)
                 print(
                     f"calls: {len(rig.endpoints.calls)} seen by endpoints ({calls} before the end), "
                     f"{known} in the store; store {os.path.getsize(rig.store('k1')) / 1e6:.1f} MB"
@@ -168,24 +168,26 @@
         began, size = time.monotonic(), 0
         for number in range(1, 51):
             changes = {"e1": "leaving"} if number == 40 else {}
-            store.publish(Version(LIST, "x", "", number, f"{number:032x}"), "newer", changes, number * 1e4)
+            store.add_published(
+                Version(LIST, "x", "", number, f"{number:032x}"), "newer", changes, number * 1e4
+            )
         for sender in range(senders):
-            chain, at, frames, number = START, 0.0, [], 0
-            records = [Life("l", f"n{sender}", "b", 0.0, 0.0)]
+            chain, at, frames, number = INITIAL_CHAIN, 0.0, [], 0
+            records = [ProcessStart("l", f"n{sender}", "b", 0.0, 0.0)]
             for turn in range(each):
                 at += 5e5 / each
                 if turn % (each // 50) == 0:
                     many = turn // (each // 50) + 1
                     held = Version(LIST, "x", "", many, f"{many:032x}")
-                    records.append(Adopted(held, "newer", "x", at, at))
-                records.append(Acted(at, (f"doc-{sender}-{turn}", f"e{turn % 20}")))
+                    records.append(VersionAdopted(held, "newer", "x", at, at))
+                records.append(TurnActions(at, (f"doc-{sender}-{turn}", f"e{turn % 20}")))
             for record in records:
                 number += 1
-                data, chain = frame(number, chain, record)
+                data, chain = encode_frame(number, chain, record)
                 frames.append(data)
                 size += len(data)
             for start in range(0, number, 1000):
-                piece = wire.Piece(
+                piece = wire.TrailResponse(
                     name=f"n{sender}",
                     process="p",
                     boot="b",
@@ -197,7 +199,7 @@
                     chain=chain,
                     frames=b"".join(frames[start : start + 1000]),
                 )
-                store.take(f"d{sender}", piece, at, 1.0)
+                store.store_answer(f"d{sender}", piece, at, 1.0)
                 store.commit()
         spent = time.monotonic() - began
         store.close()
@@ -208,10 +210,10 @@
         )
         stores = Stores([path], 5e5)
         for name, ask in (
-            ("acted --list 25", lambda: len(stores.acted(25).stretches)),
-            ("acted --list 25 --late", lambda: len(stores.late(25).calls)),
-            ("document", lambda: len(stores.document("doc-50-77").calls)),
-            ("after --endpoint e1 --out-at 40", lambda: len(stores.after("e1", 40).calls)),
+            ("acted --list 25", lambda: len(stores.activity(25).stretches)),
+            ("acted --list 25 --late", lambda: len(stores.late_calls(25).calls)),
+            ("document", lambda: len(stores.document_calls("doc-50-77").calls)),
+            ("after --endpoint e1 --out-at 40", lambda: len(stores.calls_after_removal("e1", 40).calls)),
             ("status", lambda: len(stores.status())),
             ("findings", lambda: len(stores.findings())),
         ):
@@ -224,10 +226,13 @@
                 f"{name}: {many} rows, {statistics.median(times) * 1000.0:.1f} ms (first "
                 f"{times[0] * 1000.0:.1f} ms)"
             )
-    head = Adopted(Version(LIST, "127.0.0.1:8500", "", 41, "0" * 32), "newer", "127.0.0.1:8500", 1e12, 1e6)
+    head = VersionAdopted(
+        Version(LIST, "127.0.0.1:8500", "", 41, "0" * 32), "newer", "127.0.0.1:8500", 1e12, 1e6
+    )
     print(
-        f"an adoption: {len(frame(1, START, head)[0])} bytes; a turn with one call: "
-        f"{len(frame(1, START, Acted(1e6, ('9b1f03aa5c7e2d41', 's-5be2a07c')))[0])} bytes"
+        f"an adoption: {len(encode_frame(1, INITIAL_CHAIN, head)[0])} bytes; a turn with one call: "
+        f"{len(encode_frame(1, INITIAL_CHAIN, TurnActions(1e6, ('9b1f03aa5c7e2d41', 's-5be2a07c')))[0])} "
+        "bytes"
     )
 
 
--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -1,4 +1,4 @@
-"""python -m birchstack: one real sender, by the configuration that BALANCER_CONFIG names."""
+"""python -m birchstack: runs one sender, configured by the file that BALANCER_CONFIG names."""
 
 import asyncio
 import dataclasses
@@ -9,15 +9,18 @@
 
 from birchstack import backlog
 from birchstack.net import log
-from birchstack.net.audit import MakeAuditLog
+from birchstack.net.audit import AuditLogFactory
 from birchstack.net.config import Config, ConfigError, load
 from birchstack.net.machine import Machine
-from birchstack.net.overflow import Make as MakeStore
+from birchstack.net.overflow import StoreFactory
 from birchstack.net.sender import Node
 
 
-def _audit_log(config: Config) -> tuple[Config, MakeAuditLog | None]:
-    """Whoever keeps the record, where operators switched it on; what it needs is imported only then."""
+def _audit_log(config: Config) -> tuple[Config, AuditLogFactory | None]:
+    """Loads the audit log if BALANCER_FLEET enables it, and reserves its share of the configured limits.
+
+    Its dependencies are optional (the extra `fleet`), so they are imported only then.
+    """
     path = os.environ.get("BALANCER_FLEET")
     if not path:
         return config, None
@@ -25,12 +28,12 @@
         from birchstack.fleet import audit_log, settings
     except ModuleNotFoundError as problem:
         raise ConfigError(f"BALANCER_FLEET: {problem.name} is missing (the extra `fleet`)") from problem
-    told = settings.load(path)
-    return settings.room_for(told, config), audit_log.maker(told)
+    fleet = settings.load(path)
+    return settings.reserve_trail_space(fleet, config), audit_log.audit_log_factory(fleet)
 
 
-def _store(config: Config) -> tuple[Config, MakeStore | None]:
-    """What keeps long lines of documents on disk, where operators switched it on; it takes descriptors."""
+def _store(config: Config) -> tuple[Config, StoreFactory | None]:
+    """Loads the backlog on disk if BALANCER_BACKLOG enables it, and reserves its file descriptors."""
     path = os.environ.get("BALANCER_BACKLOG")
     if not path:
         if backlog.contains_documents(os.listdir(config.state)):
@@ -40,23 +43,25 @@
         from birchstack.backlog import maker, settings
     except ModuleNotFoundError as problem:
         raise ConfigError(f"BALANCER_BACKLOG: {problem.name} is missing (the extra `backlog`)") from problem
-    sockets = min(config.sockets, Machine().descriptors()) - maker.DESCRIPTORS
+    sockets = min(config.sockets, Machine().max_descriptors()) - maker.DESCRIPTORS
     if sockets < 64:
         raise ConfigError(f"limits.sockets: the backlog needs {maker.DESCRIPTORS}, which leaves {sockets}")
     return dataclasses.replace(config, sockets=sockets), maker.store_factory(settings.load(path))
 
 
-async def _serve(config: Config, audit: MakeAuditLog | None, store: MakeStore | None) -> None:
+async def _serve(config: Config, audit: AuditLogFactory | None, store: StoreFactory | None) -> None:
     node = Node(config, asyncio.get_running_loop(), audit=audit, store=store)
     await node.start()
     gc.collect()
-    gc.freeze()  # what a start leaves behind is never garbage
+    gc.freeze()  # objects created at the start live as long as the process: the collector skips them
     await node.ended
 
 
 def main() -> int:
-    signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])  # until it has its handler
-    log.start()
+    """Runs the sender until it is told to end. Returns the exit status: 2 if the configuration is wrong."""
+    # Blocked until the event loop handles it: its default action would end the process
+    signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
+    log.configure()
     try:
         config, audit = _audit_log(load())
         config, store = _store(config)
--- a/birchstack/backlog/manifest.py
+++ b/birchstack/backlog/manifest.py
@@ -13,7 +13,7 @@
 from birchstack.backlog.plan import BALLAST, MANIFEST, parse_name
 from birchstack.backlog.runs import append_all
 from birchstack.ledger.records import HEAD, Record, Scanner, Whole, frame, head
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
 READ_SIZE = 65536  # bytes
@@ -71,7 +71,7 @@
         self.torn = bool(scanner.damages)  # a snapshot follows soon, so that nothing follows a torn record
         for damage in scanner.damages:
             if damage.corruption:
-                say(
+                log_event(
                     log,
                     "rot in the manifest",
                     logging.ERROR,
@@ -80,7 +80,7 @@
                     end=damage.end,
                 )
         if not any(isinstance(each, Whole) for each in found):
-            say(log, "no complete snapshot in the manifest", logging.ERROR, file=self.name)
+            log_event(log, "no complete snapshot in the manifest", logging.ERROR, file=self.name)
         with contextlib.suppress(OSError):
             self._file = self._folder.open(self.name)
         return found
@@ -100,7 +100,7 @@
         except OSError as problem:
             if required:
                 raise
-            say(log, "not noted yet", logging.ERROR, problem=problem)
+            log_event(log, "not noted yet", logging.ERROR, problem=problem)
             self._pending.append(data)
             self.pending_bytes += len(data)
             return False
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -58,7 +58,7 @@
     head,
     unframe,
 )
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
 READ_SIZE = 65536  # bytes of one read of a segment
@@ -181,7 +181,7 @@
             try:
                 self._index.restore(run, self._watermark)
             except (CorruptionError, OSError) as problem:
-                say(
+                log_event(
                     log,
                     "index run unreadable; it is rebuilt from the segments",
                     logging.ERROR,
@@ -198,7 +198,7 @@
             )
         self._manifest.reserve_ballast()
         if self._states:
-            say(log, "backlog recovered", owed=self._waiting_count, destinations=len(self._states))
+            log_event(log, "backlog recovered", owed=self._waiting_count, destinations=len(self._states))
 
     def _recover_destination(self, destination: int, state: DestinationState, numbers: list[int]) -> None:
         """Restores the log of one destination; reads only its segments from the last checkpoint on."""
@@ -480,7 +480,7 @@
         """Logs a corrupted part of a segment once."""
         if (number, start) not in self._reported_damage and len(self._reported_damage) < MAX_REPORTED_DAMAGE:
             self._reported_damage.add((number, start))
-            say(log, "rot in the backlog", logging.ERROR, file=name, start=start, end=end)
+            log_event(log, "rot in the backlog", logging.ERROR, file=name, start=start, end=end)
 
     def moved(self, destination: int, count: int) -> None:
         """Records that the first `count` documents of the last read() are in the ledger now."""
@@ -548,7 +548,7 @@
         """Counts documents whose records are no longer readable."""
         self.lost += count
         state.has_losses = True
-        say(
+        log_event(
             log,
             "documents lost",
             logging.ERROR,
@@ -627,7 +627,7 @@
 
     def _end_unreadable(self, entry: bytes, destination: int, position: int) -> None:
         """Counts a document as lost and ends it: its record is corrupted, so no outcome can be reported."""
-        say(
+        log_event(
             log,
             "document lost",
             logging.ERROR,
@@ -736,7 +736,7 @@
             self._step_failed = False
         except OSError as problem:
             if not self._step_failed:
-                say(log, "housekeeping put off", logging.ERROR, problem=problem)
+                log_event(log, "housekeeping put off", logging.ERROR, problem=problem)
             more = False
             self._step_failed = True
         return more
@@ -839,7 +839,7 @@
     def _report_corrupt_run(self, problem: CorruptionError) -> None:
         """Logs a corrupted run once, and has it rebuilt."""
         if problem.run.number not in self._corrupt_runs:
-            say(log, "rot in an index; it is made anew", logging.ERROR, at=problem)
+            log_event(log, "rot in an index; it is made anew", logging.ERROR, at=problem)
             self._corrupt_runs[problem.run.number] = problem.run
 
     def _rebuild_index(self) -> Generator[None, None, None]:
--- a/birchstack/emulator/virtual.py
+++ b/birchstack/emulator/virtual.py
@@ -23,7 +23,7 @@
 from birchstack.net import log as sender_log
 from birchstack.net.config import decode
 from birchstack.net.machine import Machine
-from birchstack.net.overflow import Make
+from birchstack.net.overflow import StoreFactory
 from birchstack.net.sender import Node
 
 CLOSE_MS = 3700.0  # SIGKILL comes so long after SIGTERM
@@ -64,10 +64,10 @@
     def steady_ms(self) -> float:
         return 5_000_000.0 + self._day.clock.now_ms()
 
-    def boot(self) -> str:
+    def boot_id(self) -> str:
         return f"machine-{self._number}"
 
-    def unique(self) -> str:
+    def unique_name(self) -> str:
         self._day.names += 1
         return f"{self._day.seed & 0xFFFFFFFF:08x}{self._day.names:08x}"
 
@@ -77,7 +77,7 @@
     async def listen(self, loop: ProcessLoop, where: tuple[str, int], protocol, *how):
         return await loop.create_server(protocol, *where)
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         return 1 << 20
 
     def on_signals(self, loop: ProcessLoop, end, reload) -> None:
@@ -223,11 +223,13 @@
         loop = asyncio._get_running_loop()
         number = int(loop.name) if isinstance(loop, ProcessLoop) else -1
         if text in FAULTS:
-            problem = record.exc_info[1] if record.exc_info else getattr(record, "words", {}).get("what")
+            problem = record.exc_info[1] if record.exc_info else getattr(record, "fields", {}).get("what")
             self._day.judge.fault(self._day.clock.now_ms(), number, f"{text}: {problem!r}")
         else:
             self._day.judge.note(
-                self._day.clock.now_ms(), None, f"sender {number} logs: {text} {getattr(record, 'words', {})}"
+                self._day.clock.now_ms(),
+                None,
+                f"sender {number} logs: {text} {getattr(record, 'fields', {})}",
             )
 
 
@@ -236,7 +238,7 @@
     documents on each sender's disk, if anything does."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, keep_log: bool = False, store: Make | None = None
+        self, scenario: Scenario, seed: int, keep_log: bool = False, store: StoreFactory | None = None
     ) -> None:
         self.scenario, self.seed, self.store = scenario, seed, store
         self.clock = Clock()
@@ -265,7 +267,7 @@
         logger.addHandler(handler)
         logger.setLevel(logging.ERROR)
         logger.propagate = False
-        sender_log.broken.clear()
+        sender_log.violations.clear()
         try:
             self.world.begin()
             for process in self.processes:
--- a/birchstack/net/calls.py
+++ b/birchstack/net/calls.py
@@ -1,7 +1,8 @@
-"""Calls to endpoints: their connections, the pool of idle ones, and how each call ended.
+"""Calls to endpoints: their connections, the pool of idle ones, and the outcome of each call.
 
-Owns every connection to an endpoint, the time-outs of calls and dials, and the table of outcomes. Must never
-choose an endpoint, send anything again by itself, or keep a connection that the decisions count as gone.
+Owns every connection to an endpoint, the time-outs of calls and dials, and the mapping of responses to
+outcomes. Never chooses an endpoint, never sends anything again by itself, and never keeps a connection that
+the decision logic counts as closed.
 """
 
 from __future__ import annotations
@@ -12,218 +13,252 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from birchstack import interface as our
+from birchstack import interface
 from birchstack.net import http1
 from birchstack.net.driver import Dial, Link
-from birchstack.net.log import holds, say
+from birchstack.net.log import check_invariant, log_event
 
 PATH = "/hook"
-KEPT = (our.OK, our.ERROR, our.FULL)  # after these a connection may lie idle for the next call
+# After these a connection may stay idle for the next call
+REUSABLE_OUTCOMES = (interface.OK, interface.ERROR, interface.FULL)
 DECIMAL = r"[0-9]{1,9}(?:\.[0-9]{0,18})?"
-REPORT = re.compile(rf"(?:TEXT )?x0=({DECIMAL}), ?x1=({DECIMAL})")
-REST_MS = 500.0  # an answer that has begun is whole after so long, or it is spoilt
-EARLIER = 0.9  # an idle connection is closed at this part of the endpoint's own time
+LOAD_REPORT = re.compile(rf"(?:TEXT )?x0=({DECIMAL}), ?x1=({DECIMAL})")
+RESPONSE_REST_MS = 500.0  # a response must be complete this long after its status line, or it is malformed
+IDLE_TIME_SHARE = (
+    0.9  # of the endpoint's idle time-out: closes first, so that no call meets the endpoint's close
+)
 log = logging.getLogger(__name__)
 
 
-def kind_of(answer: http1.Response) -> tuple[str, bool, float]:
-    """Outcome of an answer: its kind, whether the document is over by it, and the wait told."""
+def classify_response(answer: http1.Response) -> tuple[str, bool, float]:
+    """Maps a response to its outcome: kind, whether the document has ended, and the requested wait in ms."""
     if answer.status == 200:
-        return our.OK, True, 0.0
+        return interface.OK, True, 0.0
     if answer.status == 429:
         wait = answer.fields.get("x-come-back-ms", "")
-        return our.FULL, False, float(wait) if re.fullmatch(DECIMAL, wait) else 0.0
+        return interface.FULL, False, float(wait) if re.fullmatch(DECIMAL, wait) else 0.0
     if answer.status == 503:
         busy = answer.fields.get("x-line-busy", "").strip() == "1"
-        return our.UNSENT if busy else our.FULL, False, 0.0
+        return interface.UNSENT if busy else interface.FULL, False, 0.0
     if answer.status in (504, 410):
-        return our.UNSENT, answer.status == 410, 0.0
-    return our.ERROR, False, 0.0
+        return interface.UNSENT, answer.status == 410, 0.0
+    return interface.ERROR, False, 0.0
 
 
-def report_of(answer: http1.Response) -> tuple[float | None, float | None]:
-    """The room left and the limit that an answer tells; what is not wholly readable tells nothing."""
-    report = REPORT.fullmatch(answer.fields.get("server-load", ""))
+def parse_load_report(answer: http1.Response) -> tuple[float | None, float | None]:
+    """Reads the free capacity and the limit from a response; a report that is not fully valid is ignored."""
+    report = LOAD_REPORT.fullmatch(answer.fields.get("server-load", ""))
     return (float(report[1]), float(report[2])) if report else (None, None)
 
 
 @dataclass(slots=True)
 class Call:
-    doc: str
-    number: int
+    """One transmission of a document to an endpoint."""
+
+    doc_id: str
+    attempt: int  # counts the transmissions of the document
     endpoint: str
     body: bytes
-    patience_ms: float  # from when it is written
-    repeat_key: str | None = None  # passed on with every transmission, where its client sent one
-    started: float = 0.0  # when it was decided
-    written: float = 0.0
+    timeout_ms: float  # time-out, counted from when the call is written
+    repeat_key: str | None = None  # sent with every transmission if the client sent one (Idempotency-Key)
+    started: float = 0.0  # when it was decided, on the clock of Calls
+    written: float = 0.0  # when it was written
     destination: int = -1
 
 
-class Line:
-    """One connection to an endpoint, from its dialling to its end; carries one call at a time."""
+class EndpointConnection:
+    """One connection to an endpoint, from its dial to its close; carries one call at a time."""
 
     def __init__(self, calls: Calls, endpoint: str, where: tuple[str, int]) -> None:
-        self._calls, self.endpoint, self.where = calls, endpoint, where
+        self._calls = calls
+        self.endpoint = endpoint
+        self.address = where
         self._link: Link | None = None
         self._dial: Dial | None = None
         self._call: Call | None = None
         self._answer: http1.Response | None = None
-        self._reader = http1.Responses()
-        self._late = False  # its time is over, and what has come is read
-        self._new = True  # no call has begun on it while it lay idle
-        self._sent = self._begun = False  # all was handed to the network; a first line has come
-        self._timer: asyncio.TimerHandle | None = None  # of the dial, the answer or the rest: one at a time
+        self._reader = http1.ResponseReader()
+        self._deadline_passed = False  # the call's time is over; bytes that have arrived are still read
+        self._new = True  # dialled for the current call, not taken from the idle pool
+        self._written = False  # the request was handed to the network
+        self._status_received = False  # a status line (not 1xx) has come
+        self._timer: asyncio.TimerHandle | None = None  # of dial, answer, rest of it, or idle: one at a time
 
     def begin(self, call: Call) -> None:
-        self._call, self._answer, self._reader, self._begun = call, None, http1.Responses(), False
-        self._sent = self._late = False
-        self._rest()
+        """Assigns a call to this connection, which is dialled if it is not established yet."""
+        self._call = call
+        self._answer = None
+        self._reader = http1.ResponseReader()
+        self._status_received = False
+        self._written = self._deadline_passed = False
+        self._stop_timer()
         self._new = self._link is None
         if self._new:
-            self._timer = self._calls.later(min(self._calls.dial_ms, call.patience_ms), self._not_connected)
-            self._dial = Dial(self._calls.loop, self.where, self, self._not_connected)
+            self._timer = self._calls.call_later(
+                min(self._calls.dial_ms, call.timeout_ms), self._connect_failed
+            )
+            self._dial = Dial(self._calls.loop, self.address, self, self._connect_failed)
 
-    def waits(self, call: Call) -> bool:
-        """True if this call has its connection, and was not written yet."""
-        return self._call is call and self._link is not None and not self._sent
+    def ready_for(self, call: Call) -> bool:
+        """True if the connection is established for this call, and the call is not written yet."""
+        return self._call is call and self._link is not None and not self._written
 
     def stale(self) -> bool:
-        """True if the endpoint has closed an idle connection already, or said what nobody asked."""
-        return self._link is None or self._link.closed or self._link.told()[1] or self._link.unread() > 0
+        """True if the endpoint has closed an idle connection already, or sent unsolicited bytes."""
+        return (
+            self._link is None
+            or self._link.closed
+            or self._link.receive_state()[1]
+            or self._link.unread_bytes() > 0
+        )
 
-    def rests(self) -> None:
-        """Lies idle until the next call, or shortly before the endpoint would close it."""
-        self._timer = self._calls.later(self._calls.idle_ms * EARLIER, self._expired)
+    def start_idle(self) -> None:
+        """Stays idle until the next call, or until shortly before the endpoint would close it."""
+        self._timer = self._calls.call_later(self._calls.idle_ms * IDLE_TIME_SHARE, self._idle_expired)
 
     def close(self) -> None:
-        self._rest()
+        """Closes the connection at once, or gives up its dial."""
+        self._stop_timer()
         if self._dial:
             self._dial.stop()
         if self._link:
             self._link.abort()
 
-    def _rest(self) -> None:
+    def _stop_timer(self) -> None:
         if self._timer:
             self._timer.cancel()
         self._timer = None
 
     def write(self) -> None:
+        """Writes the request of the call, and starts its time-out."""
         call = self._call
-        self._rest()
-        self._timer = self._calls.later(call.patience_ms, self._timed_out)
+        self._stop_timer()
+        self._timer = self._calls.call_later(call.timeout_ms, self._timed_out)
         fields = {
-            "Request-Id": call.doc,
-            "Request-Timeout-Ms": max(1, int(call.patience_ms)),
+            "Request-Id": call.doc_id,
+            "Request-Timeout-Ms": max(1, int(call.timeout_ms)),
             **({"Idempotency-Key": call.repeat_key} if call.repeat_key else {}),
         }
-        host = f"{self.where[0]}:{self.where[1]}"
-        self._sent = self._link.write(http1.request("POST", PATH, host, fields, call.body))
-        if self._sent:
+        host = f"{self.address[0]}:{self.address[1]}"
+        self._written = self._link.write(http1.request("POST", PATH, host, fields, call.body))
+        if self._written:
             self._calls.transmitted += 1
-        else:  # reset in this moment, and nothing of it left
-            self._not_connected()
+        else:  # the connection was reset just now, and none of it was sent
+            self._connect_failed()
 
-    # What the link tells
+    # Events of the link (driver.Owner)
 
     def opened(self, link: Link) -> None:
-        self._link, self._dial = link, None
+        """Reports the call as connected."""
+        self._link = link
+        self._dial = None
         if self._call:
-            self._calls.up(self._call)
+            self._calls.on_connected(self._call)
 
     def received(self, data: memoryview) -> None:
-        if self._call is None:  # nobody asked
-            self._calls.drop(self)
+        """Parses the response, and ends the call once that is complete or malformed."""
+        if self._call is None:  # unsolicited bytes on an idle connection
+            self._calls.discard(self)
             return
-        if not self._sent:  # nor is this the answer to a call that was not written
-            self._not_connected()
+        if not self._written:  # cannot be the answer to a call that is not written yet
+            self._connect_failed()
             return
         try:
             for event in self._reader.feed(data):
                 if isinstance(event, http1.Response):
                     self._answer = event
-                elif event is http1.END:  # what comes behind it belongs to nobody
-                    keep = self._answer.keep and not self._link.unsent and self._reader.between
-                    self._ends(keep, whole=True)
+                elif event is http1.END:  # further bytes answer no call
+                    keep = self._answer.keep_alive and not self._link.unsent and self._reader.between_messages
+                    self._end_call(keep, complete=True)
                     return
-        except http1.Malformed as problem:
-            self._spoilt(str(problem))
+        except http1.MalformedError as problem:
+            self._malformed(str(problem))
             return
-        if self._reader.told and not self._begun:
-            self._begun = True
+        if self._reader.status and not self._status_received:
+            self._status_received = True
             self._timer.cancel()
-            left = self._call.patience_ms - self._calls.since(self._call.written)
-            self._timer = self._calls.later(min(REST_MS, max(0.0, left)), self._spoilt, "not whole in time")
-            if self._reader.told == 200:
-                self._calls.delivered(self._call)
-        if self._reader.told == 200 and self._reader.ended():
-            self._ends(keep=False)  # its body means nothing: no need to wait for its end
+            left = self._call.timeout_ms - self._calls.elapsed_since(self._call.written)
+            self._timer = self._calls.call_later(
+                min(RESPONSE_REST_MS, max(0.0, left)), self._malformed, "response not complete in time"
+            )
+            if self._reader.status == 200:
+                self._calls.on_delivered(self._call)
+        if self._reader.status == 200 and self._reader.complete_at_end():
+            self._end_call(keep=False)  # the body has no meaning: no need to wait for its end
 
     def lost(self) -> None:
+        """Ends the call, if there is one; an idle connection leaves the pool."""
         if self._call is None:
-            self._calls.drop(self)
+            self._calls.discard(self)
         else:
-            self._ends(keep=False, whole=self._answer is not None and self._reader.ended())
+            self._end_call(keep=False, complete=self._answer is not None and self._reader.complete_at_end())
 
     # Ends of a call
 
-    def _not_connected(self) -> None:
-        self._ends(keep=False)
+    def _connect_failed(self) -> None:
+        self._end_call(keep=False)
 
-    def stays(self) -> None:
-        """The call must not be written any more, or cannot be: it never left."""
-        self._ends(keep=False, stays=not self._new or not self.stale())
+    def cancel(self) -> None:
+        """Ends the call without writing it: it may not or cannot be written any more."""
+        self._end_call(keep=False, cancelled=not self._new or not self.stale())
 
     def _timed_out(self) -> None:
-        if self._link.unread() and not self._late:  # an answer that came in this pass: read first, once
-            self._late = True
-            self._timer = self._calls.later(0.0, self._timed_out)
+        if self._link.unread_bytes() and not self._deadline_passed:  # an answer came in this pass: read first
+            self._deadline_passed = True
+            self._timer = self._calls.call_later(0.0, self._timed_out)
             return
-        self._ends(keep=False, patience_over=True)
+        self._end_call(keep=False, timed_out=True)
 
-    def _expired(self) -> None:
-        self._calls.drop(self)
+    def _idle_expired(self) -> None:
+        self._calls.discard(self)
 
-    def _spoilt(self, problem: str) -> None:
-        self._calls.count_spoilt(self.endpoint, problem)
-        self._ends(keep=False, spoilt=True)
+    def _malformed(self, problem: str) -> None:
+        self._calls.count_malformed(self.endpoint, problem)
+        self._end_call(keep=False, malformed=True)
 
-    def _ends(
+    def _end_call(
         self,
         keep: bool,
-        whole: bool = False,
-        patience_over: bool = False,
-        spoilt: bool = False,
-        stays: bool = False,
+        complete: bool = False,
+        timed_out: bool = False,
+        malformed: bool = False,
+        cancelled: bool = False,
     ) -> None:
+        """Determines the outcome of the call; keep: whether the connection can serve another call."""
         call, answer = self._call, self._answer
-        if not holds(call, "a call ends once"):
+        if not check_invariant(call, "a call ends exactly once"):
             return
         self._call = None
-        self._rest()
+        self._stop_timer()
         over, wait_ms, room, limit = False, 0.0, None, None
         if answer:
-            room, limit = report_of(answer)
-        if self._reader.told == 200:  # its first line is enough, whatever follows
-            kind, over = our.OK, True
-            if not self._begun:
-                self._calls.delivered(call)
-        elif answer and whole:  # of any other, a part proves nothing
-            kind, over, wait_ms = kind_of(answer)
-        elif stays:
-            kind = our.UNSENT
-        elif not self._sent or self._link is None or self._link.unsent:
-            kind = our.CONNECT_FAILED
-        elif spoilt:
-            kind = our.ERROR
+            room, limit = parse_load_report(answer)
+        if self._reader.status == 200:  # the status line is enough, whatever follows it
+            kind, over = interface.OK, True
+            if not self._status_received:
+                self._calls.on_delivered(call)
+        elif answer and complete:  # any other response proves nothing unless it is complete
+            kind, over, wait_ms = classify_response(answer)
+        elif cancelled:
+            kind = interface.UNSENT
+        elif not self._written or self._link is None or self._link.unsent:
+            kind = interface.CONNECT_FAILED
+        elif malformed:
+            kind = interface.ERROR
         else:
-            kind = our.TIMEOUT if patience_over else our.RESET
-        self._calls.ended(self, call, keep and kind in KEPT, (kind, over, wait_ms, room, limit))
+            kind = interface.TIMEOUT if timed_out else interface.RESET
+        self._calls.call_ended(
+            self, call, keep and kind in REUSABLE_OUTCOMES, (kind, over, wait_ms, room, limit)
+        )
 
 
 class Calls:
-    """All connections to endpoints. up(call) hears of a dialled connection that has come up: its call waits
-    for go(). told(call, outcome) hears of each call's end, once."""
+    """All connections to endpoints, and the calls in flight.
+
+    on_connected(call): a dialled connection is established, and its call waits for write_or_cancel().
+    on_delivered(call): the status line of a 200 has come. on_end(call, outcome): the call has ended, reported
+    once for each.
+    """
 
     def __init__(
         self,
@@ -231,103 +266,131 @@
         clock: Callable[[], float],
         idle_ms: float,
         dial_ms: float,
-        most_idle: int,
-        up: Callable,
-        delivered: Callable,
-        told: Callable,
+        max_idle: int,
+        on_connected: Callable,
+        on_delivered: Callable,
+        on_end: Callable,
     ) -> None:
-        self.loop, self._clock, self.idle_ms, self.dial_ms = loop, clock, idle_ms, dial_ms
-        self._most_idle, self.up, self.delivered, self._told = most_idle, up, delivered, told
-        self.addresses: dict[str, tuple[str, int]] = {}
-        self._spoilt = self.transmitted = 0  # transmitted: written whole to endpoints, for the figures
-        self._idle: dict[Line, None] = {}  # oldest first
-        self._busy: dict[str, Line] = {}  # by document
-
-    def later(self, ms: float, what: Callable, *words: object) -> asyncio.TimerHandle:
-        return self.loop.call_later(ms / 1000.0, what, *words)
-
-    def since(self, moment: float) -> float:
+        self.loop = loop
+        self._clock = clock
+        self.idle_ms = idle_ms
+        self.dial_ms = dial_ms
+        self._max_idle = max_idle
+        self.on_connected = on_connected
+        self.on_delivered = on_delivered
+        self._on_end = on_end
+        self.addresses: dict[str, tuple[str, int]] = {}  # by endpoint
+        self._malformed_count = 0
+        self.transmitted = 0  # requests written completely to endpoints, for the metrics
+        self._idle: dict[EndpointConnection, None] = {}  # oldest first
+        self._busy: dict[str, EndpointConnection] = {}  # by document id
+
+    def call_later(self, ms: float, function: Callable, *arguments: object) -> asyncio.TimerHandle:
+        """Calls a function after a time in milliseconds."""
+        return self.loop.call_later(ms / 1000.0, function, *arguments)
+
+    def elapsed_since(self, moment: float) -> float:
+        """Milliseconds since a moment of the clock."""
         return self._clock() - moment
 
-    def count_spoilt(self, endpoint: str, problem: str) -> None:
-        self._spoilt += 1
-        if self._spoilt <= 3 or self._spoilt % 1000 == 0:
-            say(log, "spoilt answer", logging.WARNING, endpoint=endpoint, problem=problem, count=self._spoilt)
+    def count_malformed(self, endpoint: str, problem: str) -> None:
+        """Counts malformed responses; logs the first three and then each thousandth."""
+        self._malformed_count += 1
+        if self._malformed_count <= 3 or self._malformed_count % 1000 == 0:
+            log_event(
+                log,
+                "spoilt answer",
+                logging.WARNING,
+                endpoint=endpoint,
+                problem=problem,
+                count=self._malformed_count,
+            )
 
     def __len__(self) -> int:
         return len(self._busy)
 
-    def gone(self, endpoint: str) -> None:
-        """Nothing is kept of an endpoint that left the list, but for the calls that are out."""
+    def remove_endpoint(self, endpoint: str) -> None:
+        """Forgets an endpoint that left the list, except for its calls in flight."""
         self.addresses.pop(endpoint, None)
         self.close_idle(endpoint)
 
-    def move(self, endpoint: str, where: tuple[str, int]) -> None:
-        """The address of an endpoint, perhaps a new one."""
+    def set_address(self, endpoint: str, where: tuple[str, int]) -> None:
+        """Sets the address of an endpoint; idle connections to another address are closed."""
         if self.addresses.get(endpoint) != where:
             self.addresses[endpoint] = where
             self.close_idle(endpoint)
 
     def begin(self, call: Call) -> bool:
-        """Finds it a connection: True if there is one that lies idle, else one is dialled."""
-        holds(call.doc not in self._busy, "one transmission of a document is out")
+        """Assigns a connection to a call: True if an idle one is ready, False if one is dialled."""
+        check_invariant(call.doc_id not in self._busy, "a document has at most one transmission in flight")
         call.started = self._clock()
-        line = self._newest(call.endpoint) or Line(self, call.endpoint, self.addresses[call.endpoint])
-        self._busy[call.doc] = line
-        line.begin(call)
-        return line.waits(call)
-
-    def waiting(self, call: Call) -> bool:
-        """True if it has its connection still, to where its endpoint is now, and was not written.
-
-        Guards against what came since the connection was chosen or came up and was not read yet: an end or a
-        reset under a call that would then be in doubt, bytes that would pass for its answer. May hurt: what
-        comes after this look is met all the same."""
-        line = self._busy.get(call.doc)
+        connection = self._take_idle(call.endpoint) or EndpointConnection(
+            self, call.endpoint, self.addresses[call.endpoint]
+        )
+        self._busy[call.doc_id] = connection
+        connection.begin(call)
+        return connection.ready_for(call)
+
+    def can_write(self, call: Call) -> bool:
+        """True if the call still has a connection, to its endpoint's current address, and is not written.
+
+        Guards against what arrived since the connection was chosen or established and has not been read yet:
+        an end or a reset, which would leave the call in doubt, and bytes that would be taken for its answer.
+        Limit: what arrives after this check is not noticed.
+        """
+        connection = self._busy.get(call.doc_id)
         return (
-            line is not None
-            and line.waits(call)
-            and line.where == self.addresses.get(call.endpoint)
-            and not line.stale()
+            connection is not None
+            and connection.ready_for(call)
+            and connection.address == self.addresses.get(call.endpoint)
+            and not connection.stale()
         )
 
-    def go(self, call: Call, may: bool) -> None:
-        """Writes a call that has its connection, or ends it as one that never left."""
-        line = self._busy.get(call.doc)
-        if line is not None and line.waits(call):
+    def write_or_cancel(self, call: Call, may_write: bool) -> None:
+        """Writes a call whose connection is established, or ends it as one that was never sent."""
+        connection = self._busy.get(call.doc_id)
+        if connection is not None and connection.ready_for(call):
             call.written = self._clock()
-            (line.write if may else line.stays)()
-
-    def _newest(self, endpoint: str) -> Line | None:
-        while line := next((each for each in reversed(self._idle) if each.endpoint == endpoint), None):
-            del self._idle[line]
-            if not line.stale():
-                return line
-            line.close()
+            (connection.write if may_write else connection.cancel)()
+
+    def _take_idle(self, endpoint: str) -> EndpointConnection | None:
+        """Takes the most recently used idle connection to an endpoint, and closes stale ones on the way."""
+        while connection := next((each for each in reversed(self._idle) if each.endpoint == endpoint), None):
+            del self._idle[connection]
+            if not connection.stale():
+                return connection
+            connection.close()
         return None
 
-    def ended(self, line: Line, call: Call, keep: bool, how: tuple) -> None:
-        self._busy.pop(call.doc, None)
-        kept = keep and line.where == self.addresses.get(line.endpoint)
+    def call_ended(self, connection: EndpointConnection, call: Call, keep: bool, result: tuple) -> None:
+        """Pools or closes the connection of a call that ended, and reports the outcome.
+
+        result: the fields of the outcome, without those that are known here.
+        """
+        self._busy.pop(call.doc_id, None)
+        kept = keep and connection.address == self.addresses.get(connection.endpoint)
         if kept:
-            self._idle[line] = None
-            line.rests()
-            if len(self._idle) > self._most_idle:
-                self.drop(next(iter(self._idle)))
+            self._idle[connection] = None
+            connection.start_idle()
+            if len(self._idle) > self._max_idle:
+                self.discard(next(iter(self._idle)))
         else:
-            line.close()  # before the outcome is told: no two of one document are ever out
-        kind, *rest = how
-        elapsed_ms = self.since(call.started)
-        self._told(call, our.Outcome(kind, call.number, elapsed_ms, *rest, kept))
+            connection.close()  # before the outcome is reported: one transmission of a document at a time
+        kind, *rest = result
+        elapsed_ms = self.elapsed_since(call.started)
+        self._on_end(call, interface.Outcome(kind, call.attempt, elapsed_ms, *rest, kept))
 
-    def drop(self, line: Line) -> None:
-        self._idle.pop(line, None)
-        line.close()
+    def discard(self, connection: EndpointConnection) -> None:
+        """Removes an idle connection from the pool, and closes it."""
+        self._idle.pop(connection, None)
+        connection.close()
 
     def close_idle(self, endpoint: str) -> None:
-        for line in [each for each in self._idle if each.endpoint == endpoint]:
-            self.drop(line)
+        """Closes the idle connections to an endpoint."""
+        for connection in [each for each in self._idle if each.endpoint == endpoint]:
+            self.discard(connection)
 
     def close(self) -> None:
-        for line in [*self._idle, *self._busy.values()]:
-            line.close()
+        """Closes all connections, those of calls in flight too."""
+        for connection in [*self._idle, *self._busy.values()]:
+            connection.close()
--- a/birchstack/net/operators.py
+++ b/birchstack/net/operators.py
@@ -1,8 +1,8 @@
-"""The operators' door: HTTP/1.1 on a listener of its own, one call a connection, answered at once.
+"""Operators' HTTP/1.1 server on a listener of its own: one request per connection, answered at once.
 
-Owns the operators' listening socket, its connections and the paths of the calls. Must never decide: what an
-operator asks is carried out by the sender through the Calls it was given, and the figures are what the sender
-counts. A call is answered in the pass of the loop in which its last byte came.
+Owns the listening socket, its connections and the paths of the requests. Must never decide: the sender
+carries requests out through the Handlers it passes in, and the metrics are what the sender counts. A request
+is answered in the same iteration of the event loop in which its last byte arrived.
 """
 
 from __future__ import annotations
@@ -15,62 +15,65 @@
 
 from birchstack.net import http1
 from birchstack.net.driver import Link
-from birchstack.net.log import say
+from birchstack.net.log import log_event
 from birchstack.net.machine import Machine
 
-WHOLE_S = 2.0  # a call not whole by then is cut; it holds nobody up meanwhile
-MOST, AT_ONCE = 64, 2  # connections in all; the oldest is cut for a new one; let in at once
-BODY = 4096  # an operator's call brings no more than this
-PREFIX = "balancer"  # of the names of the figures
-TRAIL = ("GET", "/fleet/trail"), ("POST", "/fleet/trail")  # by keepers, where BALANCER_FLEET is set
+REQUEST_TIMEOUT_S = 2.0  # a request that is incomplete after this time is cut off
+MAX_CONNECTIONS = 64  # connections at once; the oldest is closed for a new one
+MAX_ACCEPTING = 2  # connections that are being accepted at once
+MAX_BODY_BYTES = 4096  # bytes in the body of a request at most
+METRIC_PREFIX = "balancer"  # of the metrics' names
+# Sent by keepers, if BALANCER_FLEET is set
+TRAIL_REQUESTS = ("GET", "/fleet/trail"), ("POST", "/fleet/trail")
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Yes or no, with a line for who asked."""
+    """Whether a request succeeded, with a line of text for the operator."""
 
-    yes: bool
+    ok: bool
     text: str = ""
-    status: int = 0  # another than 200 or 400 where the form says more
-    content: bytes | None = None  # for programs, in place of the line
+    status: int = 0  # HTTP status, if other than 200 (ok) or 400
+    content: bytes | None = None  # binary body for programs, in place of the text
 
     def bytes(self) -> bytes:
-        status = self.status or (200 if self.yes else 400)
+        """Encodes the HTTP response."""
+        status = self.status or (200 if self.ok else 400)
         if self.content is not None:
-            return _answer(status, self.content, "application/octet-stream")
-        return _answer(
+            return _response(status, self.content, "application/octet-stream")
+        return _response(
             status, self.text.encode() + (b"" if self.text.endswith("\n") or not self.text else b"\n")
         )
 
 
-def _answer(status: int, body: bytes, kind: str = "text/plain; charset=utf-8") -> bytes:
+def _response(status: int, body: bytes, kind: str = "text/plain; charset=utf-8") -> bytes:
     head = f"HTTP/1.1 {status} {http1.REASONS.get(status, 'Status')}\r\n"
     fields = f"Content-Type: {kind}\r\nContent-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     return (head + fields).encode("latin-1") + body
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """What a sender counts from its start, in the project's words; by_type: delivered, refused, failed."""
+class Metrics:
+    """The sender's metrics since its start; by_type: delivered, refused and failed documents of each type."""
 
     by_type: dict[str, tuple[int, int, int]]
-    transmitted: int  # written whole to endpoints
-    held: int  # taken on, and not ended
+    transmitted: int  # transmissions written completely to endpoints
+    held: int  # documents accepted and not finished
     listed: int  # endpoints in the list
-    avoided: int  # of those, out by hand or avoided by the decisions
-    reloads: tuple[int, int]  # configurations taken over, and not taken over
-    more: list[tuple[str, object]] = field(default_factory=list)  # of whoever keeps the record, if anybody
+    avoided: int  # of those, disabled by operators or avoided by the decisions
+    reloads: tuple[int, int]  # configurations applied and rejected
+    extra: list[tuple[str, object]] = field(default_factory=list)  # metrics of the audit trail, if any
 
     def text(self) -> str:
-        """In the operators' form: one name=value a line, with their names."""
+        """Formats one name=value per line, with the names that operators know."""
         lines = [
-            f"{PREFIX}.responses.{name}.{word}={count}"
+            f"{METRIC_PREFIX}.responses.{name}.{word}={count}"
             for name, counts in self.by_type.items()
             for word, count in zip(("ok", "shed", "errors"), counts, strict=True)
         ]
         lines += [
-            f"{PREFIX}.{word}={count}"
+            f"{METRIC_PREFIX}.{word}={count}"
             for word, count in (
                 ("tries", self.transmitted),
                 ("active", self.held),
@@ -78,40 +81,43 @@
                 ("pool_ejected", self.avoided),
                 ("config_applied", self.reloads[0]),
                 ("config_rejected", self.reloads[1]),
-                *self.more,
+                *self.extra,
             )
         ]
         return "\n".join(lines) + "\n"
 
 
 @dataclass(frozen=True, slots=True)
-class Calls:
-    """What the sender does for each call; ids are those of the list of endpoints."""
+class Handlers:
+    """The sender's handler for each request; ids are those of the list of endpoints."""
 
     ready: Callable[[], Answer]
-    figures: Callable[[], Figures]
+    metrics: Callable[[], Metrics]
     disable: Callable[[str], Answer]
     enable: Callable[[str], Answer]
     drain: Callable[[], Answer]
     undrain: Callable[[], Answer]
-    trail: Callable[[dict[str, list[str]], bytes], Answer] | None = None  # where a record is kept
+    trail: Callable[[dict[str, list[str]], bytes], Answer] | None = None  # if an audit trail is kept
 
 
-class Caller:
-    """One connection of an operator: one call, its answer, the end."""
+class OperatorConnection:
+    """One connection: a request, its response, then the end."""
 
-    def __init__(self, door: Door) -> None:
-        self._door, self._reader = door, http1.Requests(max_body=BODY)
+    def __init__(self, server: OperatorServer) -> None:
+        self._server = server
+        self._reader = http1.RequestReader(max_body=MAX_BODY_BYTES)
         self._head: http1.Request | None = None
         self._body = bytearray()
         self.link: Link | None = None
         self.done = False
 
     def opened(self, link: Link) -> None:
+        """Called when the connection is accepted."""
         self.link = link
-        self._door.joined(self)
+        self._server.register(self)
 
     def received(self, data: memoryview) -> None:
+        """Called with data from the connection."""
         if self.done:
             return
         try:
@@ -119,72 +125,87 @@
                 if isinstance(event, http1.Request):
                     self._head = event
                 elif event is http1.END:
-                    self._say(self._door.answer(self._head, bytes(self._body)))
+                    self._respond(self._server.answer(self._head, bytes(self._body)))
                     return
                 elif isinstance(event, bytes):
                     self._body += event
-        except http1.Malformed as problem:
-            self._say(Answer(False, f"malformed: {problem}", problem.status))
+        except http1.MalformedError as problem:
+            self._respond(Answer(False, f"malformed: {problem}", problem.status))
 
-    def _say(self, answer: Answer) -> None:
+    def _respond(self, answer: Answer) -> None:
         self.done = True
         self.link.write(answer.bytes())
-        self.link.finish(lambda: self._door.left(self))  # until then it has its descriptor
+        self.link.finish(lambda: self._server.unregister(self))  # it holds its descriptor until then
 
     def lost(self) -> None:
+        """Called when the connection is lost."""
         self.done = True
-        self._door.left(self)
+        self._server.unregister(self)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
+        """Aborts the connection."""
         self.done = True
-        self._door.left(self)
+        self._server.unregister(self)
         self.link.abort()
 
 
-class Door:
-    """The operators' listener."""
+class OperatorServer:
+    """The operators' server."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, calls: Calls, most: int = MOST) -> None:
-        self._loop, self._calls, self._most = loop, calls, most
-        self._callers: dict[Caller, float] = {}  # by when each must be whole, oldest first
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, handlers: Handlers, max_connections: int = MAX_CONNECTIONS
+    ) -> None:
+        self._loop = loop
+        self._handlers = handlers
+        self._max_connections = max_connections
+        self._connections: dict[OperatorConnection, float] = {}  # deadline of each request, oldest first
         self._server: asyncio.Server | None = None
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
-    async def open(self, machine: Machine, where: tuple[str, int]) -> None:
-        self._server = await machine.listen(self._loop, where, lambda: Link(Caller(self)), False, AT_ONCE)
+    async def open(self, machine: Machine, address: tuple[str, int]) -> None:
+        """Starts listening."""
+        self._server = await machine.listen(
+            self._loop, address, lambda: Link(OperatorConnection(self)), False, MAX_ACCEPTING
+        )
         self._sweep()
 
-    def joined(self, caller: Caller) -> None:
-        if len(self._callers) >= self._most:  # a crowd of silent ones must not keep the next call out
-            next(iter(self._callers)).cut()
-        self._callers[caller] = self._loop.time() + WHOLE_S
+    def register(self, connection: OperatorConnection) -> None:
+        """Registers a connection; if there are too many, closes the oldest, as idle ones must not block."""
+        if len(self._connections) >= self._max_connections:
+            next(iter(self._connections)).abort()
+        self._connections[connection] = self._loop.time() + REQUEST_TIMEOUT_S
 
-    def left(self, caller: Caller) -> None:
-        self._callers.pop(caller, None)
+    def unregister(self, connection: OperatorConnection) -> None:
+        """Unregisters a connection."""
+        self._connections.pop(connection, None)
 
     def _sweep(self) -> None:
+        """Closes connections whose request is overdue."""
         now = self._loop.time()
-        for caller in [each for each, due in self._callers.items() if due <= now]:
-            caller.cut()
-        self._sweeping = self._loop.call_later(0.25, self._sweep)
+        for connection in [each for each, due in self._connections.items() if due <= now]:
+            connection.abort()
+        self._sweep_timer = self._loop.call_later(0.25, self._sweep)
 
     def answer(self, head: http1.Request, body: bytes = b"") -> Answer:
-        """What a whole call is owed; what is not one of the calls is a no, and changes nothing."""
-        asked = urllib.parse.parse_qs(head.query, keep_blank_values=True)
-        ids = asked.get("id", [])
-        calls = self._calls
-        figures = lambda: Answer(True, calls.figures().text())  # noqa: E731
+        """Carries out a complete request; an unknown one is refused and changes nothing."""
+        query = urllib.parse.parse_qs(head.query, keep_blank_values=True)
+        ids = query.get("id", [])
+        handlers = self._handlers
+        metrics = lambda: Answer(True, handlers.metrics().text())  # noqa: E731
         plain = {
-            ("GET", "/ready"): calls.ready,
-            ("GET", "/metrics"): figures,
-            ("POST", "/drain"): calls.drain,
-            ("POST", "/undrain"): calls.undrain,
+            ("GET", "/ready"): handlers.ready,
+            ("GET", "/metrics"): metrics,
+            ("POST", "/drain"): handlers.drain,
+            ("POST", "/undrain"): handlers.undrain,
+        }
+        by_id = {
+            ("POST", "/endpoints/disable"): handlers.disable,
+            ("POST", "/endpoints/enable"): handlers.enable,
         }
-        by_id = {("POST", "/endpoints/disable"): calls.disable, ("POST", "/endpoints/enable"): calls.enable}
         key = head.method, head.path
         try:
-            if key in TRAIL and calls.trail:
-                answer = calls.trail(asked, body)
+            if key in TRAIL_REQUESTS and handlers.trail:
+                answer = handlers.trail(query, body)
             elif key in plain:
                 answer = plain[key]()
             elif key in by_id and len(ids) == 1 and ids[0]:
@@ -193,24 +214,25 @@
                 answer = Answer(False, "id: one endpoint id is wanted")
             else:
                 answer = Answer(False, f"no such call: {head.method} {head.path}", 404)
-        except Exception:  # a fault of the sender's part must still be answered
+        except Exception:  # a fault in the sender's handler must still be answered
             log.exception("an operator's call failed")
             answer = Answer(False, "the call failed", 500)
-        if key not in (("GET", "/ready"), ("GET", "/metrics"), *TRAIL):
-            say(
+        if key not in (("GET", "/ready"), ("GET", "/metrics"), *TRAIL_REQUESTS):
+            log_event(
                 log,
                 "operator's call",
                 call=f"{head.method} {head.path}",
                 id=",".join(ids) or "-",
-                yes=answer.yes,
+                yes=answer.ok,
                 said=answer.text.splitlines()[0] if answer.text else "",
             )
         return answer
 
     def close(self) -> None:
+        """Stops listening and aborts all connections."""
         if self._server:
             self._server.close()
-        if self._sweeping:
-            self._sweeping.cancel()
-        for caller in [*self._callers]:
-            caller.cut()
+        if self._sweep_timer:
+            self._sweep_timer.cancel()
+        for connection in [*self._connections]:
+            connection.abort()
--- a/birchstack/net/overflow.py
+++ b/birchstack/net/overflow.py
@@ -1,12 +1,12 @@
-"""Documents beyond a destination's window: on disk until the decisions want them.
-
-Owns the order between the store and the ledger, and when the store is read. A document is in one of them, but
-for a moment: what comes back is written to the ledger first, then the store is told, and only then the
-decisions hear of it; a start tells the store what the ledger has. Must never decide which document waits on
-disk, comes back or is refused: the decisions are asked (Sender.documents_wanted,
-Sender.overflow_retry_after_ms), and a document whose
-time runs out on disk is handed to them, to be ended as any other. The one store there is:
-birchstack.backlog, switched on by BALANCER_BACKLOG.
+"""Documents beyond a destination's window: kept in a store on disk until the decision logic wants them.
+
+Owns the order of writes to the store and the ledger, and when the store is read. Each document is in one of
+the two, except for a moment: one that leaves the store is written to the ledger first, then removed from the
+store, and only then submitted to the decision logic; at a start, the store drops what the ledger has. Never
+decides which document waits on disk, is read back or is refused: the decision logic is asked
+(Sender.documents_wanted, Sender.overflow_retry_after_ms), and a document that expires on disk is submitted to
+it, and ends like any other. The one implementation of a store is birchstack.backlog, enabled by
+BALANCER_BACKLOG.
 """
 
 from __future__ import annotations
@@ -17,19 +17,22 @@
 from typing import NamedTuple, Protocol
 
 from birchstack.decide import CALL_MS, Sender
-from birchstack.net.front import CLOSED, REJECTED, TAKEN, Handed
-from birchstack.net.ledger import Ledger, Owed
-from birchstack.net.log import say
+from birchstack.net.front import ACCEPTED, REJECTED, UNAVAILABLE, ClientRequest
+from birchstack.net.ledger import Ledger, LedgerEntry
+from birchstack.net.log import log_event
 from birchstack.net.machine import Folder
 
-LINES, RUN, DUE = 16, 32, 64  # in one turn: destinations read from, documents of each, and of those overdue
-LAST_MS = CALL_MS - 1.0  # so long before their expiry the decisions surely send them no more
-AGAIN_S, LONGEST_S = 0.5, 86400.0  # after an error of the disk; asyncio's timers hold no more than days
+MAX_DESTINATIONS = 16  # read in one turn
+MAX_READ = 32  # documents read of each of them
+MAX_OVERDUE = 64  # overdue documents read in one turn
+NO_CALL_MS = CALL_MS - 1.0  # this long before the expiry, the decision logic surely starts no transmission
+RETRY_S = 0.5  # after a disk error
+MAX_TIMER_S = 86400.0  # asyncio's timers accept no more than days
 log = logging.getLogger(__name__)
 
 
-class Kept(Protocol):
-    """One document on disk, untried; times in milliseconds of the lasting clock."""
+class StoredDocument(Protocol):
+    """One document on disk, not transmitted yet; times are milliseconds of the lasting clock."""
 
     id: str
     type: str
@@ -43,200 +46,253 @@
 
 
 class Store(Protocol):
-    """Errors of the disk are OSError; every change is recorded when its method returns."""
+    """Documents on disk, in order by destination.
+
+    Disk errors are raised as OSError; every change is on disk when its method returns.
+    """
 
     def __len__(self) -> int: ...
 
-    def waiting(self, destination: int) -> tuple[int, float]: ...
+    def waiting(self, destination: int) -> tuple[int, float]:
+        """Number of documents of a destination, and since when the first one waits (or an earlier time)."""
+
+    def fits(self, sizes: list[int]) -> bool:
+        """True if bodies of these sizes can be added."""
 
-    def fits(self, sizes: list[int]) -> bool: ...
+    def append(self, document: StoredDocument) -> None:
+        """Adds a document behind the others of its destination."""
 
-    def append(self, kept: Kept) -> None: ...
+    def holds(self, doc_id: str) -> bool:
+        """True if the document is here."""
 
-    def holds(self, doc_id: str) -> bool: ...
+    def read(self, destination: int, limit: int) -> list[StoredDocument]:
+        """Reads the first documents of a destination; they stay until moved()."""
 
-    def read(self, destination: int, most: int) -> list[Kept]: ...
+    def moved(self, destination: int, count: int) -> None:
+        """Removes the first documents of a destination: the ledger has them."""
 
-    def moved(self, destination: int, count: int) -> None: ...
+    def due(self, now: float, limit: int) -> list[StoredDocument]:
+        """Reads documents that expire by the given time; they stay until ended()."""
 
-    def due(self, now: float, most: int) -> list[Kept]: ...
+    def ended(self, ids: list[str]) -> None:
+        """Removes documents that due() returned."""
 
-    def ended(self, ids: list[str]) -> None: ...
+    def next_due(self) -> float:
+        """The earliest expiry of all documents, or an earlier time."""
 
-    def next_due(self) -> float: ...
+    def destinations(self) -> Iterable[int]:
+        """The destinations that have documents here."""
 
-    def destinations(self) -> Iterable[int]: ...
+    def drop(self, ids: Iterable[str]) -> None:
+        """Removes those of the documents that are here."""
 
-    def drop(self, ids: Iterable[str]) -> None: ...
+    def step(self) -> bool:
+        """Does a piece of housekeeping; True while more is due."""
 
-    def step(self) -> bool: ...
+    def close(self) -> None:
+        """Closes the files."""
 
-    def close(self) -> None: ...
 
+class OpenedStore(NamedTuple):
+    """An opened store.
 
-class Made(NamedTuple):
-    """window: of documents before the decisions; kept: makes a Kept of its words, in their order."""
+    window: documents of a destination that the decision logic gets at once; make_document: makes a document
+    from its fields, in their order.
+    """
 
     store: Store
     window: int
-    kept: Callable[..., Kept]
+    make_document: Callable[..., StoredDocument]
 
 
-Make = Callable[[Folder, float], Made]  # of the folder, at a time of the lasting clock
+# Opens the store of a folder, at a time of the lasting clock
+StoreFactory = Callable[[Folder, float], OpenedStore]
 
 
 class Overflow:
-    """turn() has its part in each turn of the sender; adopt(now, owed, tenant) puts a document that came back
-    to the decisions; soon() asks for another turn."""
+    """Moves documents between the store and the ledger.
+
+    turn() is called in each turn of the sender. submit(now, owed, tenant) submits a document that was read
+    back to the decision logic; schedule_turn() schedules another turn.
+    """
 
     def __init__(
         self,
-        made: Made,
+        opened: OpenedStore,
         ledger: Ledger,
         core: Sender,
         wall: float,
         loop: asyncio.AbstractEventLoop,
-        adopt: Callable[[float, Owed, str | None], object],
-        soon: Callable[[], None],
+        submit: Callable[[float, LedgerEntry, str | None], object],
+        schedule_turn: Callable[[], None],
     ) -> None:
-        self._store, self._window, self._kept = made
-        self._ledger, self._core, self._adopt, self._soon = ledger, core, adopt, soon
-        self._loop, self._began = loop, wall
-        self._store.drop([*ledger.ended, *ledger.owed])
-        ledger.freed = self.freed
-        self._fresh: dict[str, Handed] = {}  # of this turn, not recorded yet
-        self._ahead: dict[int, int] = {}  # how many of those, by destination
-        self._lines = dict.fromkeys(self._store.destinations())  # that have something on disk
-        self._stirred = dict.fromkeys(self._lines)  # of those, where there may be room
-        self._tidy = self._begins = True  # whether housekeeping is due; nothing was asked yet
+        self._store, self._window, self._make_document = opened
+        self._ledger = ledger
+        self._core = core
+        self._submit = submit
+        self._schedule_turn = schedule_turn
+        self._loop = loop
+        self._started_at = wall
+        self._store.drop([*ledger.ended, *ledger.entries])
+        ledger.on_freed = self.freed
+        self._pending: dict[str, ClientRequest] = {}  # accepted in this turn, not recorded yet
+        self._pending_counts: dict[int, int] = {}  # of those, by destination
+        self._stored = dict.fromkeys(self._store.destinations())  # destinations with documents on disk
+        self._to_read = dict.fromkeys(self._stored)  # of those, the ones that may have room
+        self._housekeeping_due = True
+        self._first_turn = True
         self._timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
         return len(self._store)
 
-    def __bool__(self) -> bool:  # an empty one, too, is there
+    def __bool__(self) -> bool:  # an overflow without documents is true as well
         return True
 
     def holds(self, doc_id: str) -> bool:
-        return doc_id in self._ledger.owed or self._store.holds(doc_id)
-
-    def takes(self, now: float, handed: Handed, age_ms: float, advice_ms: float) -> tuple[str, float] | None:
-        """None: it goes before the decisions. Else it waits on disk (TAKEN, once recorded), or is refused, to
-        come again after so many milliseconds."""
-        where, size = handed.destination, len(handed.body)
-        ahead = self._store.waiting(where)[0] + self._ahead.get(where, 0)
-        room = self._core.documents_wanted(where, self._window, len(self._lines), ahead)
-        if not ahead and room > 0 and self._ledger.fits([size]):
+        """True if the document is in the ledger or in the store."""
+        return doc_id in self._ledger.entries or self._store.holds(doc_id)
+
+    def admit(
+        self, now: float, request: ClientRequest, age_ms: float, advice_ms: float
+    ) -> tuple[str, float] | None:
+        """Decides where a new document goes: None if it is submitted to the decision logic at once.
+
+        Otherwise a verdict and a wait in ms: ACCEPTED if it waits on disk, to be answered once it is
+        recorded, or a refusal, after whose wait the client may submit it again.
+        """
+        destination = request.destination
+        size = len(request.body)
+        ahead = self._store.waiting(destination)[0] + self._pending_counts.get(destination, 0)
+        room = self._core.documents_wanted(destination, self._window, len(self._stored), ahead)
+        if not ahead and room > 0 and self._ledger.has_space([size]):
             return None
-        if back_ms := self._core.overflow_retry_after_ms(now, where, handed.left_ms - age_ms, ahead):
+        if back_ms := self._core.overflow_retry_after_ms(
+            now, destination, request.remaining_ms - age_ms, ahead
+        ):
             return REJECTED, back_ms
-        if not self._store.fits([size, *(len(each.body) for each in self._fresh.values())]):
-            return CLOSED, advice_ms
-        handed.left_ms -= age_ms
-        self._fresh[handed.id] = handed
-        self._ahead[where] = self._ahead.get(where, 0) + 1
-        return TAKEN, 0.0
-
-    def record(self, handed: Handed, wall: float) -> bool:
-        """False if it is not one for the disk; raises OSError where it could not be recorded."""
-        if self._fresh.pop(handed.id, None) is None:
+        if not self._store.fits([size, *(len(each.body) for each in self._pending.values())]):
+            return UNAVAILABLE, advice_ms
+        request.remaining_ms -= age_ms
+        self._pending[request.id] = request
+        self._pending_counts[destination] = self._pending_counts.get(destination, 0) + 1
+        return ACCEPTED, 0.0
+
+    def record(self, request: ClientRequest, wall: float) -> bool:
+        """Writes a document that admit() accepted to the store; False if it is not one of those.
+
+        Raises OSError if it could not be written.
+        """
+        if self._pending.pop(request.id, None) is None:
             return False
-        self._ahead[handed.destination] -= 1
-        if not self._ahead[handed.destination]:
-            del self._ahead[handed.destination]
+        self._pending_counts[request.destination] -= 1
+        if not self._pending_counts[request.destination]:
+            del self._pending_counts[request.destination]
         self._store.append(
-            self._kept(
-                handed.id,
-                handed.type,
-                handed.destination,
-                handed.key,
-                wall + handed.left_ms,
-                handed.body,
-                handed.repeat_key,
-                handed.tenant,
+            self._make_document(
+                request.id,
+                request.type,
+                request.destination,
+                request.key,
+                wall + request.remaining_ms,
+                request.body,
+                request.repeat_key,
+                request.tenant,
                 wall,
             )
         )
-        self._lines[handed.destination] = self._stirred[handed.destination] = self._tidy = True
+        self._stored[request.destination] = self._to_read[request.destination] = self._housekeeping_due = True
         return True
 
     def freed(self, destination: int) -> None:
-        """One of its documents ended, or a call there."""
-        if destination in self._lines:
-            self._stirred[destination] = True
-            self._soon()
+        """A document of the destination, or a call to it, has ended: there may be room for the next."""
+        if destination in self._stored:
+            self._to_read[destination] = True
+            self._schedule_turn()
 
     def turn(self, now: float, wall: float) -> None:
-        """What runs out of time on disk, and what there is room for, come before the decisions."""
+        """Submits documents that expire on disk, and those that there is room for, to the decision logic."""
         if self._timer:
             self._timer.cancel()
-        for destination in self._lines if self._begins else ():
-            self._room(destination)  # the decisions know, before the first call, what waits where
-        self._begins = False
+        for destination in self._stored if self._first_turn else ():
+            self._room(destination)  # tells the decision logic before its first call how many wait on disk
+        self._first_turn = False
         try:
             more = self._end_overdue(now, wall)
-            for destination in [*self._stirred][:LINES]:
-                if self._read(now, destination) < RUN:  # no more room, or nothing left: until one ends
-                    self._stirred.pop(destination, None)
-            self._tidy = self._tidy and self._store.step()
+            for destination in [*self._to_read][:MAX_DESTINATIONS]:
+                if self._read(now, destination) < MAX_READ:  # no more room, or none left: until one ends
+                    self._to_read.pop(destination, None)
+            self._housekeeping_due = self._housekeeping_due and self._store.step()
         except OSError as problem:
-            say(log, "backlog not read", logging.ERROR, problem=problem)
-            self._timer = self._loop.call_later(AGAIN_S, self._soon)
+            log_event(log, "backlog not read", logging.ERROR, problem=problem)
+            self._timer = self._loop.call_later(RETRY_S, self._schedule_turn)
             return
-        if more or self._stirred or self._tidy:
-            self._loop.call_soon(self._soon)  # others have their pass first
-        due_s = (self._store.next_due() - LAST_MS - wall) / 1000.0
-        if due_s < LONGEST_S:
-            self._timer = self._loop.call_later(max(0.0, due_s), self._soon)
+        if more or self._to_read or self._housekeeping_due:
+            self._loop.call_soon(self._schedule_turn)  # a pass later, so that other work is not held up
+        due_s = (self._store.next_due() - NO_CALL_MS - wall) / 1000.0
+        if due_s < MAX_TIMER_S:
+            self._timer = self._loop.call_later(max(0.0, due_s), self._schedule_turn)
 
     def close(self) -> None:
+        """Closes the store."""
         if self._timer:
             self._timer.cancel()
         self._store.close()
 
     def _end_overdue(self, now: float, wall: float) -> bool:
-        """No transmission would help these any more: the decisions end each in this turn."""
-        overdue = self._store.due(wall + LAST_MS, DUE)
-        for kept in overdue:
-            self._move(kept)
+        """Submits documents too close to their expiry for a transmission: they are ended in this turn.
+
+        Returns whether there may be more of them.
+        """
+        overdue = self._store.due(wall + NO_CALL_MS, MAX_OVERDUE)
+        for document in overdue:
+            self._move(document)
         if overdue:
-            self._store.ended([kept.id for kept in overdue])
-            self._tidy = True
-        for kept in overdue:
-            self._hand_over(now, kept)
-            self._gone_by(kept.destination)
-        return len(overdue) == DUE
-
-    def _gone_by(self, destination: int) -> None:
+            self._store.ended([document.id for document in overdue])
+            self._housekeeping_due = True
+        for document in overdue:
+            self._submit_moved(now, document)
+            self._forget_if_empty(document.destination)
+        return len(overdue) == MAX_OVERDUE
+
+    def _forget_if_empty(self, destination: int) -> None:
         if not self._store.waiting(destination)[0]:
-            self._lines.pop(destination, None)
-            self._stirred.pop(destination, None)
+            self._stored.pop(destination, None)
+            self._to_read.pop(destination, None)
 
     def _room(self, destination: int) -> int:
-        kept = self._store.waiting(destination)[0]
-        return self._core.documents_wanted(destination, self._window, len(self._lines), kept)
+        waiting = self._store.waiting(destination)[0]
+        return self._core.documents_wanted(destination, self._window, len(self._stored), waiting)
 
     def _read(self, now: float, destination: int) -> int:
-        most = min(RUN, self._room(destination))
-        run: list[Kept] = []
-        for kept in self._store.read(destination, most) if most > 0 else ():
-            if not self._ledger.fits([len(kept.body)]):
+        """Moves and submits as many documents of a destination as there is room for; returns how many."""
+        limit = min(MAX_READ, self._room(destination))
+        moved: list[StoredDocument] = []
+        for document in self._store.read(destination, limit) if limit > 0 else ():
+            if not self._ledger.has_space([len(document.body)]):
                 break
-            self._move(kept)
-            run.append(kept)
-        if run:
-            self._store.moved(destination, len(run))
-            self._tidy = True
-        for kept in run:
-            self._hand_over(now, kept)
-        self._gone_by(destination)
-        return len(run)
-
-    def _move(self, kept: Kept) -> None:
-        owed = self._ledger.take(
-            kept.id, kept.type, kept.destination, kept.key, kept.expiry, kept.body, kept.repeat_key
+            self._move(document)
+            moved.append(document)
+        if moved:
+            self._store.moved(destination, len(moved))
+            self._housekeeping_due = True
+        for document in moved:
+            self._submit_moved(now, document)
+        self._forget_if_empty(destination)
+        return len(moved)
+
+    def _move(self, document: StoredDocument) -> None:
+        """Writes a document of the store to the ledger."""
+        owed = self._ledger.add(
+            document.id,
+            document.type,
+            document.destination,
+            document.key,
+            document.expiry,
+            document.body,
+            document.repeat_key,
         )
-        owed.found = kept.taken < self._began
+        owed.recovered = document.taken < self._started_at
 
-    def _hand_over(self, now: float, kept: Kept) -> None:
-        self._adopt(now, self._ledger.owed[kept.id], kept.tenant)
+    def _submit_moved(self, now: float, document: StoredDocument) -> None:
+        self._submit(now, self._ledger.entries[document.id], document.tenant)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -75,20 +75,20 @@
 
 @mutant("202 is written before the ledger holds the document")
 def _(patch):
-    old = sender.Node._settle
+    old = sender.Node._commit
 
     def settle(self, now):
-        for handed in self._fresh.values():
-            handed.reply(front.TAKEN)
+        for request in self._pending.values():
+            request.reply(front.ACCEPTED)
         old(self, now)
 
-    patch.set(sender.Node, "_settle", settle)
+    patch.set(sender.Node, "_commit", settle)
 
 
 @mutant("a requested wait is ignored")
 def _(patch):
-    old = calls.kind_of
-    patch.set(calls, "kind_of", lambda answer: (*old(answer)[:2], 0.0))
+    old = calls.classify_response
+    patch.set(calls, "classify_response", lambda answer: (*old(answer)[:2], 0.0))
 
 
 @mutant("a drain is ignored")
@@ -98,13 +98,13 @@
 
 @mutant("a call that timed out is left open beside the next")
 def _(patch):
-    old = calls.Line._timed_out
+    old = calls.EndpointConnection._timed_out
 
     def timed_out(self):
         self.close = no_op
         old(self)
 
-    patch.set(calls.Line, "_timed_out", timed_out)
+    patch.set(calls.EndpointConnection, "_timed_out", timed_out)
 
 
 @mutant("a time-out counts as proof that nothing ran")
@@ -141,7 +141,7 @@
 
 @mutant("notices are not sent")
 def _(patch):
-    patch.set(notices.Notices, "tell", no_op)
+    patch.set(notices.Notices, "queue", no_op)
 
 
 @mutant("the expiry is ignored")
@@ -152,18 +152,18 @@
         old(self, now, dataclasses.replace(given, remaining_ms=given.remaining_ms * 3.0))
 
     patch.set(decide.Sender, "document", document)
-    patch.set(sender.Node, "_look_for_overdue", no_op)
+    patch.set(sender.Node, "_end_overdue", no_op)
 
 
 @mutant("bodies lose their last byte")
 def _(patch):
-    old = calls.Line.write
+    old = calls.EndpointConnection.write
 
     def write(self):
         self._call.body = self._call.body[:-1]
         old(self)
 
-    patch.set(calls.Line, "write", write)
+    patch.set(calls.EndpointConnection, "write", write)
 
 
 @mutant("one call in a hundred goes to another destination")
@@ -180,9 +180,9 @@
 @mutant("the ledger does not note calls")
 def _(patch):
     def call(self, owed, zone, when):
-        owed.sent, owed.out = owed.sent + 1, (zone, when)
+        owed.sent, owed.in_flight = owed.sent + 1, (zone, when)
 
-    patch.set(ledger.Ledger, "call", call)
+    patch.set(ledger.Ledger, "record_transmission", call)
 
 
 @mutant("a restart forgets every second document")
@@ -191,8 +191,8 @@
 
     def recover(self):
         old(self)
-        for doc_id in [*self.owed][::2]:
-            del self.owed[doc_id]
+        for doc_id in [*self.entries][::2]:
+            del self.entries[doc_id]
 
     patch.set(ledger.Ledger, "_recover", recover)
 
@@ -203,8 +203,8 @@
 
     def recover(self):
         old(self)
-        for owed in self.owed.values():
-            owed.doubt, owed.out = [], None
+        for owed in self.entries.values():
+            owed.in_doubt, owed.in_flight = [], None
 
     patch.set(ledger.Ledger, "_recover", recover)
 
@@ -277,12 +277,12 @@
 
 @mutant("clients are answered half a second late")
 def _(patch):
-    old = front.Handed.reply
+    old = front.ClientRequest.reply
 
     def reply(self, *arguments, **keywords):
-        self._client._front._loop.call_later(0.5, functools.partial(old, self, *arguments, **keywords))
+        self._client._server._loop.call_later(0.5, functools.partial(old, self, *arguments, **keywords))
 
-    patch.set(front.Handed, "reply", reply)
+    patch.set(front.ClientRequest, "reply", reply)
 
 
 @mutant("retries cost nothing and have no bound")
@@ -312,8 +312,8 @@
 
 @mutant("SIGTERM waits for all outstanding documents", DAY, ("sigterm", "silent"))
 def _(patch):
-    patch.set(sender, "CALL_S", 8.0)
-    patch.set(sender, "END_S", 9.0)
+    patch.set(sender, "START_CALLS_S", 8.0)
+    patch.set(sender, "FINISH_CALLS_S", 9.0)
 
 
 @mutant("one outcome in three hundred raises an exception")
@@ -331,37 +331,39 @@
 
 @mutant("the end of a document is notified twice, with different results")
 def _(patch):
-    old = sender.Node._owe_notice
+    old = sender.Node._end_with_notice
 
     def owe(self, doc_id, result, wait_ms):
         old(self, doc_id, result, wait_ms)
-        self._loop.call_later(1.0, self._notices.tell, doc_id, "dead", 0.0)
+        self._loop.call_later(1.0, self._notices.queue, doc_id, "dead", 0.0)
 
-    patch.set(sender.Node, "_owe_notice", owe)
+    patch.set(sender.Node, "_end_with_notice", owe)
 
 
 @mutant("misbehaving clients are never disconnected")
 def _(patch):
-    patch.set(front.Client, "overdue", no_op)
+    patch.set(front.ClientConnection, "on_deadline", no_op)
 
 
 @mutant("a document that a full disk did not store is accepted", DAY, ("disk_full", "kill", "vanish"))
 def _(patch):
-    old, call = ledger.Ledger.take, ledger.Ledger.call
+    old, call = ledger.Ledger.add, ledger.Ledger.record_transmission
 
     def take(self, doc_id, kind, destination, key, expiry, body, repeat_key=None):
         try:
             return old(self, doc_id, kind, destination, key, expiry, body, repeat_key)
         except OSError:
-            self.owed[doc_id] = ledger.Owed(doc_id, kind, destination, key, expiry, 0, 0, repeat_key, body)
-            return self.owed[doc_id]
+            self.entries[doc_id] = ledger.LedgerEntry(
+                doc_id, kind, destination, key, expiry, 0, 0, repeat_key, body
+            )
+            return self.entries[doc_id]
 
     def note_call(self, owed, zone, when):
         with contextlib.suppress(OSError):
             call(self, owed, zone, when)
 
-    patch.set(ledger.Ledger, "take", take)
-    patch.set(ledger.Ledger, "call", note_call)
+    patch.set(ledger.Ledger, "add", take)
+    patch.set(ledger.Ledger, "record_transmission", note_call)
 
 
 def hunt(name, seeds):
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The state machines: fed bytes, whole and in pieces."""
+"""The HTTP/1.1 parsers and encoders, fed whole messages and pieces of them."""
 
 import contextlib
 
@@ -26,10 +26,10 @@
         (HEAD + b"\r\n", b""),
     ],
 )
-def test_a_request_however_it_is_split_and_the_one_behind_it(step, text, body):
-    heads, read_body, ends = read(http1.Requests(), text + b"\r\n" + text, step)
+def test_requests_are_parsed_however_they_are_split(step, text, body):
+    heads, read_body, ends = read(http1.RequestReader(), text + b"\r\n" + text, step)
     assert (len(heads), read_body, ends) == (2, body * 2, 2)
-    assert heads[0].path == "/sync" and heads[0].keep and heads[0].fields["host"] == "a"
+    assert heads[0].path == "/sync" and heads[0].keep_alive and heads[0].fields["host"] == "a"
 
 
 @pytest.mark.parametrize(
@@ -64,18 +64,18 @@
         (HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1" * 5000, 431),
     ],
 )
-def test_what_is_no_request_or_beyond_a_limit(text, status):
-    with pytest.raises(http1.Malformed) as problem:
-        [*http1.Requests().feed(text)]
+def test_requests_that_are_malformed_or_beyond_a_limit(text, status):
+    with pytest.raises(http1.MalformedError) as problem:
+        [*http1.RequestReader().feed(text)]
     assert problem.value.status == status
 
 
 @pytest.mark.parametrize(
     "fields, keep", [("", True), ("Connection: close\r\n", False), ("connection: x, Close\r\n", False)]
 )
-def test_connections_are_kept_unless_one_side_says_close(fields, keep):
-    heads, _, _ = read(http1.Requests(), HEAD + fields.encode() + b"\r\n", 100)
-    assert heads[0].keep is keep
+def test_connections_persist_unless_one_side_says_close(fields, keep):
+    heads, _, _ = read(http1.RequestReader(), HEAD + fields.encode() + b"\r\n", 100)
+    assert heads[0].keep_alive is keep
 
 
 @pytest.mark.parametrize(
@@ -96,11 +96,11 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 500])
-def test_answers(text, status, keep, ends, step):
-    reader = http1.Responses()
+def test_responses_are_parsed_however_they_are_split(text, status, keep, ends, step):
+    reader = http1.ResponseReader()
     heads, _, ended = read(reader, text, step)
-    assert (heads[0].status, heads[0].keep, ended) == (status, keep, ends)
-    assert reader.ended() is (ends == 0)
+    assert (heads[0].status, heads[0].keep_alive, ended) == (status, keep, ends)
+    assert reader.complete_at_end() is (ends == 0)
 
 
 @pytest.mark.parametrize(
@@ -117,9 +117,9 @@
         b"HTTP/1.1 500 No\r\nContent-Length: 3000000000\r\n\r\n",
     ],
 )
-def test_what_is_no_answer(text):
-    with pytest.raises(http1.Malformed):
-        [*http1.Responses().feed(text)]
+def test_malformed_responses(text):
+    with pytest.raises(http1.MalformedError):
+        [*http1.ResponseReader().feed(text)]
 
 
 @pytest.mark.parametrize(
@@ -136,21 +136,21 @@
         (b"HTTP/1.1 2000 OK\r\n", 0),
     ],
 )
-def test_a_first_line_counts_before_its_head_is_whole(text, status):
-    reader = http1.Responses()
-    with contextlib.suppress(http1.Malformed):
+def test_a_status_line_counts_before_its_head_is_complete(text, status):
+    reader = http1.ResponseReader()
+    with contextlib.suppress(http1.MalformedError):
         [*reader.feed(text)]
-    assert reader.told == status
+    assert reader.status == status
 
 
-def test_an_answer_is_told_before_what_comes_behind_it_is_looked_at():
-    events = http1.Responses().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n\0noise")
+def test_a_response_is_returned_before_bytes_after_it_are_parsed():
+    events = http1.ResponseReader().feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n\0noise")
     assert [next(events).status, next(events)] == [200, http1.END]
 
 
-def test_what_is_encoded_is_decoded():
+def test_encoded_messages_are_parsed_back():
     text = http1.request("POST", "/hook", "h:1", {"Request-Id": "d"}, b"\0body")
-    heads, body, ends = read(http1.Requests(), text, 3)
+    heads, body, ends = read(http1.RequestReader(), text, 3)
     assert (heads[0].fields["request-id"], body, ends) == ("d", b"\0body", 1)
-    heads, _, _ = read(http1.Responses(), http1.response(429, {"Retry-After": "1.5"}, close=True), 3)
-    assert (heads[0].status, heads[0].fields["retry-after"], heads[0].keep) == (429, "1.5", False)
+    heads, _, _ = read(http1.ResponseReader(), http1.response(429, {"Retry-After": "1.5"}, close=True), 3)
+    assert (heads[0].status, heads[0].fields["retry-after"], heads[0].keep_alive) == (429, "1.5", False)
