--- a/birchstack/__main__.py
+++ b/birchstack/__main__.py
@@ -36,7 +36,7 @@
     """Loads the backlog on disk if BALANCER_BACKLOG enables it, and reserves its file descriptors."""
     path = os.environ.get("BALANCER_BACKLOG")
     if not path:
-        if backlog.left(os.listdir(config.state)):
+        if backlog.contains_documents(os.listdir(config.state)):
             raise ConfigError(f"BALANCER_BACKLOG: not set, but documents wait in a backlog in {config.state}")
         return config, None
     try:
@@ -46,7 +46,7 @@
     sockets = min(config.sockets, Machine().max_descriptors()) - maker.DESCRIPTORS
     if sockets < 64:
         raise ConfigError(f"limits.sockets: the backlog needs {maker.DESCRIPTORS}, which leaves {sockets}")
-    return dataclasses.replace(config, sockets=sockets), maker.maker(settings.load(path))
+    return dataclasses.replace(config, sockets=sockets), maker.store_factory(settings.load(path))
 
 
 async def _serve(config: Config, audit: AuditLogFactory | None, store: StoreFactory | None) -> None:
