--- a/birchstack/backlog/model.py
+++ b/birchstack/backlog/model.py
@@ -17,7 +17,7 @@
 
 
 class Backlog:
-    """The backlog in memory. Times are on the clock that survives restarts, in milliseconds."""
+    """The backlog in memory. Times are milliseconds of the lasting clock."""
 
     def __init__(self, folder: object = None, settings: Settings | None = None, now: float = 0.0) -> None:
         self._capacity_bytes = settings.bytes if settings else 1 << 40
@@ -48,9 +48,9 @@
         """Returns whether the document with this id waits here."""
         return doc_id in self._documents
 
-    def read(self, destination: int, most: int) -> list[Kept]:
-        """Returns up to `most` waiting documents in order of arrival; they stay here."""
-        found = self._at_destination(destination)[:most]
+    def read(self, destination: int, limit: int) -> list[Kept]:
+        """Returns up to `limit` waiting documents in order of arrival; they stay here."""
+        found = self._at_destination(destination)[:limit]
         self._last_reads[destination] = [kept.id for kept in found]
         return found
 
@@ -60,10 +60,10 @@
             self._documents.pop(doc_id, None)
         del self._last_reads[destination][:count]
 
-    def due(self, now: float, most: int) -> list[Kept]:
-        """Returns up to `most` expired documents by expiry."""
+    def due(self, now: float, limit: int) -> list[Kept]:
+        """Returns up to `limit` expired documents by expiry."""
         found = [kept for kept in self._documents.values() if kept.expiry <= now]
-        return sorted(found, key=lambda kept: kept.expiry)[:most]
+        return sorted(found, key=lambda kept: kept.expiry)[:limit]
 
     def ended(self, ids: list[str]) -> None:
         """Removes documents that ended; ids that are unknown here are ignored."""
--- a/birchstack/backlog/store.py
+++ b/birchstack/backlog/store.py
@@ -392,12 +392,12 @@
         if handle is not None:
             self._folder.close(handle)
 
-    def read(self, destination: int, most: int) -> list[Kept]:
-        """Returns up to `most` waiting documents in order of arrival; they stay here."""
+    def read(self, destination: int, limit: int) -> list[Kept]:
+        """Returns up to `limit` waiting documents in order of arrival; they stay here."""
         state = self._states.get(destination)
         if state is None:
             return []
-        records, found = self._read_waiting(destination, state, most)
+        records, found = self._read_waiting(destination, state, limit)
         self._last_reads[destination] = records
         self._last_reads.move_to_end(destination)
         if len(self._last_reads) > MAX_REMEMBERED_READS:
@@ -405,7 +405,7 @@
         return found
 
     def _read_waiting(
-        self, destination: int, state: DestinationState, most: int
+        self, destination: int, state: DestinationState, limit: int
     ) -> tuple[list[ReadRecord], list[Kept]]:
         """Reads the first documents that wait; the start position moves past ended records before them."""
         records = []
@@ -417,7 +417,7 @@
             ended = self._has_ended(entry, position)
             records.append(ReadRecord(kept.id, entry, position, end, ordinal + 1, ended, kept.taken))
             if not ended:
-                if len(found) == most:
+                if len(found) == limit:
                     exhausted = False
                     break
                 found.append(kept)
@@ -592,14 +592,14 @@
 
     # Expiry
 
-    def due(self, now: float, most: int) -> list[Kept]:
-        """Returns up to `most` expired documents; each is returned again until it ends or moves."""
+    def due(self, now: float, limit: int) -> list[Kept]:
+        """Returns up to `limit` expired documents; each is returned again until it ends or moves."""
         self._now = max(self._now, now)
-        found = [kept for _, kept in self._offered.values()][:most]
-        limit = expiry_limit(now)
+        found = [kept for _, kept in self._offered.values()][:limit]
+        bound = expiry_limit(now)
         for _ in range(self._sizes.scan_entries):
             top = self._index.top()
-            if len(found) >= most or top is None or top >= limit:
+            if len(found) >= limit or top is None or top >= bound:
                 break
             if self._time_entry_needed(top):
                 expiry, destination, position = TIME_ENTRY.unpack(top)
--- a/birchstack/ledger/records.py
+++ b/birchstack/ledger/records.py
@@ -34,7 +34,7 @@
 class Take(msgspec.Struct, array_like=True, tag_field="kind", tag="t", frozen=True):
     """A document was accepted.
 
-    expiry: in milliseconds of the clock that survives restarts. body: None if it is stored in its own file.
+    expiry: in milliseconds of the lasting clock. body: None if it is stored in its own file.
     """
 
     id: str
@@ -89,7 +89,7 @@
 class Kept(msgspec.Struct, array_like=True, tag_field="kind", tag="k", frozen=True):
     """A complete document of the backlog, not transmitted yet.
 
-    expiry and taken (when it was accepted): in milliseconds of the clock that survives restarts.
+    expiry and taken (when it was accepted): in milliseconds of the lasting clock.
     """
 
     id: str
