--- a/birchstack/emulator/world.py
+++ b/birchstack/emulator/world.py
@@ -272,7 +272,7 @@
         document = ClientDocument(
             self._documents_created, doc_type, destination, key, now + doc_type.expiry_ms, body
         )
-        self.judge.asked(document.number, doc_type, now)
+        self.judge.document_created(document.number, doc_type, now)
         self._submit(document, sender)
 
     def _pick_sender(self) -> int:
