--- a/benchmarks/cold_ramp.py
+++ b/benchmarks/cold_ramp.py
@@ -101,7 +101,7 @@
             kinds.append(TRIAL)
         elif len(lives) < 2:
             kinds.append(TOLD if call.sender in saw else UNTOLD)
-        elif call.doc.handed_at < lives[-1].began:
+        elif call.doc.submitted_at < lives[-1].began:
             kinds.append(FOUND)
         else:
             kinds.append(LATER if (call.sender, len(lives)) in known else FIRST)
@@ -116,14 +116,14 @@
     played = VirtualDay(scenario, seed)
     result = played.play()
     trouble = scenario.troubles[0]
-    back = played.world._began + (trouble.at + trouble.seconds) * 1000.0
+    back = played.world._load_started_ms + (trouble.at + trouble.seconds) * 1000.0
     usual = scenario.clients.per_second / len(played.world.destinations)
     windows, over, by_told, worst, where, drain, left = 0, 0, 0, 0.0, 0.0, [], 0
     bound, kinds = 0.0, Counter()
     for number in trouble.destinations:
         docs = [doc for doc in played.judge.docs.values() if doc.destination == number]
         seen = sorted((call for doc in docs for call in doc.calls), key=lambda call: call.at)
-        saw = played.world.destinations[number].saw
+        saw = played.world.destinations[number].observers
         calls, kind_of = [call.at for call in seen], kinds_of_calls(played.judge, seen, back, saw)
         first = 0
         for last, at in enumerate(calls):
@@ -140,7 +140,7 @@
                 if part > worst:
                     worst, where = part, at - back
                     bound, kinds = most, Counter(kind_of[first : last + 1])
-        waited = {doc.logical for doc in docs if doc.handed_at < back}
+        waited = {doc.logical for doc in docs if doc.submitted_at < back}
         waited -= {doc.logical for doc in docs if doc.delivered_at is not None and doc.delivered_at < back}
         at = {doc.logical: doc.delivered_at for doc in docs if doc.delivered_at is not None}
         drain += [at[each] - back for each in waited if each in at]
--- a/tests/test_overflow.py
+++ b/tests/test_overflow.py
@@ -10,8 +10,8 @@
 from fake import SETTINGS, World, answer, post, read_message
 
 from birchstack.backlog import settings
-from birchstack.backlog.maker import maker
-from birchstack.emulator.scenario import WRITES, DocumentType, Scenario, Trouble, draw
+from birchstack.backlog.maker import store_factory
+from birchstack.emulator.scenario import WRITE_KILLS, DocumentType, Scenario, Trouble, draw
 from birchstack.emulator.virtual import VirtualDay
 
 ROOM = 64 << 20
@@ -25,7 +25,11 @@
     """A store factory that counts the documents written to its stores."""
 
     def __init__(self, window=4):
-        self._make, self.kept, self.stores = maker(settings.Settings(window=window, bytes=ROOM)), 0, []
+        self._make, self.kept, self.stores = (
+            store_factory(settings.Settings(window=window, bytes=ROOM)),
+            0,
+            [],
+        )
 
     def __call__(self, folder, now):
         made = self._make(folder, now)
@@ -69,7 +73,7 @@
 
 
 @pytest.mark.parametrize("write", [1, 2, 3, 5, 8, 13, 21, 34])
-@pytest.mark.parametrize("kind", WRITES)
+@pytest.mark.parametrize("kind", WRITE_KILLS)
 def test_a_kill_at_a_write_loses_nothing_that_waits_on_disk(kind, write):
     """Once while the backlog fills (5 s), once while it drains after the endpoint's return (10 s)."""
     kills = tuple(Trouble(kind=kind, at=at, senders=(0,), size=float(write)) for at in (5.0, 10.0))
