--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -134,28 +134,29 @@
 
 def test_a_stored_ledger_and_standby_file_are_recovered_and_compacted_as_before():
     disk = disk_with({"ledger": LEDGER, "ledger-next-ab": STANDBY_LEDGER, **BODIES})
-    ledger = Ledger(MemoryFolder(disk), LIMIT)
-    entries = ledger.entries
-    assert [
-        (entry.id, entry.type, entry.destination, entry.key, entry.body, entry.sent, entry.failed)
-        for entry in entries.values()
-    ] == [
-        ("d7", "sync", 1, None, b"seven", 0, 0),  # standby documents come first
-        ("d1", "sync", 1, None, b"hello", 0, 0),
-        ("d2", "order", 2, "key-1", b"two", 1, 0),
-        ("d3", "pay", 1, None, b"", 1, 1),
-        ("d4", "sync", 1, None, b"four", 1, 1),
-        ("d5", "sync", 1, None, b"", 0, 0),
-    ]
-    assert {entry.expiry for entry in entries.values()} == {NOW + 20000}
-    assert entries["d2"].repeat_key == "repeat-2" and entries["d5"].notice == ("dead", 250.0)
-    assert [entries[name].in_doubt for name in ("d2", "d3")] == [[("a", NOW + 10)], [("b", NOW + 20)]]
-    assert [*ledger.ended] == ["d6"] and ledger.waits == {"s-3": NOW + 5000}
-    assert [ledger.recoveries.get(NOW, name) for name in ledger.recoveries] == [
-        Recovery("s-4", RecoveryStage.DOWN, 100.0, 40, 2000.0),
-        Recovery("s-5", RecoveryStage.WARMING, 300.0),
-    ]
-    assert disk.files == {"ledger": LEDGER_AFTER_START, **BODIES}
+    for ended in (["d6"], []):  # the second start reads the compacted ledger
+        ledger = Ledger(MemoryFolder(disk), LIMIT)
+        entries = ledger.entries
+        assert [
+            (entry.id, entry.type, entry.destination, entry.key, entry.body, entry.sent, entry.failed)
+            for entry in entries.values()
+        ] == [
+            ("d7", "sync", 1, None, b"seven", 0, 0),  # standby documents come first
+            ("d1", "sync", 1, None, b"hello", 0, 0),
+            ("d2", "order", 2, "key-1", b"two", 1, 0),
+            ("d3", "pay", 1, None, b"", 1, 1),
+            ("d4", "sync", 1, None, b"four", 1, 1),
+            ("d5", "sync", 1, None, b"", 0, 0),
+        ]
+        assert {entry.expiry for entry in entries.values()} == {NOW + 20000}
+        assert entries["d2"].repeat_key == "repeat-2" and entries["d5"].notice == ("dead", 250.0)
+        assert [entries[name].in_doubt for name in ("d2", "d3")] == [[("a", NOW + 10)], [("b", NOW + 20)]]
+        assert [*ledger.ended] == ended and ledger.waits == {"s-3": NOW + 5000}
+        assert [ledger.recoveries.get(NOW, name) for name in ledger.recoveries] == [
+            Recovery("s-4", RecoveryStage.DOWN, 100.0, 40, 2000.0),
+            Recovery("s-5", RecoveryStage.WARMING, 300.0),
+        ]
+        assert disk.files == {"ledger": LEDGER_AFTER_START, **BODIES}
 
 
 def test_endpoints_disabled_by_hand_are_stored_as_before():
